--- a/src/turmericlug/direct/answering.py
+++ b/src/turmericlug/direct/answering.py
@@ -10,9 +10,9 @@
 
 import attrs
 
+from turmericlug.direct import attempts
 from turmericlug.direct import handover
 from turmericlug.direct import merge
-from turmericlug.direct import obtaining
 from turmericlug.direct import peers as peers_module
 from turmericlug.direct import sender as sender_module
 from turmericlug.direct import sending
@@ -68,7 +68,7 @@
 
 async def single(sender: sender_module.Sender, call: sending.Call, service: str) -> Ending:
     """Answer a request that one replica of one service answers."""
-    outcome = await obtaining.obtain(sender, call, service)
+    outcome = await attempts.get_answer(sender, call, service)
     match outcome:
         case sending.Answered():
             return Ending(_passed_on(outcome.response, outcome.response.status), "answered")
@@ -77,7 +77,7 @@
         case sending.NotRun():
             return refusal(sender, outcome.reason)
         case sending.Unknown():
-            return failure(504 if sending.is_late(outcome) else 502, outcome.reason)
+            return failure(504 if sending.timed_out(outcome) else 502, outcome.reason)
 
 
 def _failed_by_replica(outcome: sending.Failed) -> Ending:
@@ -88,7 +88,7 @@
     becomes a 502 without the replica's signature.
     """
     status = outcome.response.status
-    if sending.promises_not_run(status):
+    if sending.guarantees_not_run(status):
         return failure(502, f"replica_status_{status}")
     return Ending(_passed_on(outcome.response, status), "failed", f"replica_status_{status}")
 
@@ -119,9 +119,9 @@
     )
     now_s = asyncio.get_running_loop().time()
     answer_at_s = call.began_s + answer_after_ms / 1000
-    if answer_at_s < now_s + timing.HOPELESS_SHARE * call.route.goal_ms / 1000:
+    if answer_at_s < now_s + timing.MIN_GOAL_SHARE * call.route.goal_ms / 1000:
         # In time is out of reach: an answer of more shards is worth more then than a sooner one.
-        answer_at_s = now_s + timing.LATE_SHARE * call.route.goal_ms / 1000
+        answer_at_s = now_s + timing.LATE_ANSWER_SHARE * call.route.goal_ms / 1000
     call.answer_at_s = answer_at_s
     parts = _started(sender, call, first, answer_at_s)
     try:
@@ -165,7 +165,7 @@
         shard: loop.create_task(
             handover.part(sender, call, in_batch[shard], shard)
             if shard in in_batch
-            else obtaining.obtain(sender, call, shard, first.get(shard))
+            else attempts.get_answer(sender, call, shard, first.get(shard))
         )
         for shard in call.route.shards
     }
@@ -288,12 +288,12 @@
 def _told(call: sending.Call, parts: Parts, missing: list[str], now_s: float) -> str:
     """Describe the first missing shards: why, and which replicas were asked."""
     return "; ".join(
-        f"{shard}: {_why(parts[shard])} ({call.told(shard, now_s)})" for shard in missing[:5]
+        f"{shard}: {_why(parts[shard])} ({call.describe(shard, now_s)})" for shard in missing[:5]
     )
 
 
 def _why(part: asyncio.Task[sending.Outcome]) -> str:
-    if not _is_over(part) or sending.is_late(part.result()):
+    if not _is_over(part) or sending.timed_out(part.result()):
         return "not in time"
     return sending.reason(part.result())
 
@@ -314,5 +314,5 @@
     now_s = asyncio.get_running_loop().time()
     missing = [shard for shard, part in parts.items() if not _answered(part)]
     why = _told(call, parts, missing, now_s)
-    late = timing.is_over(call.deadline_s, now_s)
+    late = timing.has_passed(call.deadline_s, now_s)
     return failure(504 if late else 502, f"too few shards ({len(missing)} missing): {why}")
--- a/src/turmericlug/direct/obtaining.py
+++ b/src/turmericlug/direct/attempts.py
@@ -25,7 +25,7 @@
 """A timer that is later than this was held up: this process stood still."""
 CATCH_UP_S = 0.01
 """Time to read what came in while this process stood still."""
-MOST_SAME_REPLICA_RETRIES = 2
+MAX_SAME_REPLICA_RETRIES = 2
 """Sends to replicas that have failed a request before, once it may reach no other. Replicas that
 lose part of their answers give the next one in many cases."""
 MOST_UNSENT = 3
@@ -81,13 +81,13 @@
     """The last failure, or one after which the request may have run, if there was any."""
 
 
-async def obtain(
+async def get_answer(
     sender: sender_module.Sender,
     call: sending.Call,
     service: str,
     first: replica_module.Replica | None = None,
-    handed_to: str = "",
-    again: bool = False,
+    handover_data_centre: str = "",
+    is_retry: bool = False,
 ) -> sending.Outcome:
     """
     Get one answer from a service.
@@ -96,26 +96,32 @@
     used again; ``call.abandon`` ends them.
 
     :param first: the replica to send to first, where it has been chosen already
-    :param handed_to: data centre whose instances the part was handed to, if it was; all of them
-        keep to the same replicas
-    :param again: whether one of them may have sent it before; one send is left then, within the
+    :param handover_data_centre: data centre whose instances the part was handed to, if it was; all
+        of them keep to the same replicas
+    :param is_retry: whether one of them may have sent it before; one send is left then, within the
         budget of extra sends
     :returns: the first answer, or the failure; ``NotRun`` only when no attempt can have run
     """
     if not sender.quarantine.may_send(call):
-        return sending.Unknown(sending.HELD) if again else sending.NotRun(sending.HELD, sent=False)
+        return (
+            sending.Unknown(sending.QUARANTINED)
+            if is_retry
+            else sending.NotRun(sending.QUARANTINED, sent=False)
+        )
     loop = asyncio.get_running_loop()
     effort = _Effort(sender, call, service)
-    if handed_to:
-        effort.common = sender.replicas.common(service, call.route, call.request_id, handed_to)
-    if not again:
+    if handover_data_centre:
+        effort.common = sender.replicas.common(
+            service, call.route, call.request_id, handover_data_centre
+        )
+    if not is_retry:
         sender.replicas.extra_sends(service).count_request(loop.time())
     elif call.route.max_attempts < 2 or not sender.may_send_again(service, loop.time()):
         sender.counters.add("direct.repeat_denied.budget")
         return sending.Unknown("budget")
     else:
         effort.attempts = call.route.max_attempts - 1
-        effort.same_replica_retries = MOST_SAME_REPLICA_RETRIES
+        effort.same_replica_retries = MAX_SAME_REPLICA_RETRIES
         replicas = sender.replicas.of(service) if effort.common else []
         effort.closed = [each for each in replicas if each.entry.instance != effort.common]
         effort.failure = sending.Unknown("batch_lost")
@@ -151,7 +157,7 @@
                 return outcome
             _take_failure(effort, outcome, pending.replica)
         now_s = loop.time()
-        if timing.is_over(call.deadline_s, now_s):
+        if timing.has_passed(call.deadline_s, now_s):
             return _at_deadline(effort)
         if done:
             _repeat(effort, now_s)
@@ -208,7 +214,7 @@
 ) -> None:
     if not isinstance(outcome, sending.NotRun):
         effort.failure = outcome
-        if not sending.is_late(outcome) and outcome != sending.ABANDONED:
+        if not sending.timed_out(outcome) and outcome != sending.ABANDONED:
             effort.failed_by.append(replica)
         return
     effort.attempts -= 1
@@ -289,7 +295,7 @@
             "send.not_repeated", request=call.request_id, service=effort.service, reason=reason
         )
         return
-    call.repeats += 1
+    call.retries += 1
     sender.counters.add(f"direct.repeat.{reason}")
     decisions.log(
         "send.repeated",
@@ -307,7 +313,7 @@
     call = effort.call
     if not call.route.idempotent or call.route.max_attempts < 2 or not effort.failed_by:
         return False
-    if effort.same_replica_retries >= MOST_SAME_REPLICA_RETRIES:
+    if effort.same_replica_retries >= MAX_SAME_REPLICA_RETRIES:
         return False
     effort.same_replica_retries += 1
     effort.tried = [each for each in effort.tried if each not in effort.failed_by]
@@ -373,7 +379,7 @@
     replica.sends.add(send)
     if replica.is_cold(now_s):
         replica.cold_sent_s = now_s
-    call.asked.setdefault(effort.service, []).append(send)
+    call.sends_by_service.setdefault(effort.service, []).append(send)
     task = sender.tasks.start(tracking.tracked(sender, call, replica, send))
     near = sender.replicas.is_near(replica.entry.data_centre)
     sender.counters.add("direct.sent.near" if near else "direct.sent.far")
--- a/src/turmericlug/direct/content.py
+++ b/src/turmericlug/direct/content.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from turmericlug.direct import dialect
+from turmericlug.direct import header_names
 from turmericlug.policy import fingerprint as fingerprint_module
 
 
@@ -11,7 +11,7 @@
     target: bytes,
     headers: list[tuple[bytes, bytes]],
     body: bytes,
-    names: dialect.Dialect,
+    names: header_names.HeaderNames,
 ) -> bytes:
     """
     Return the same bytes for the same request of the same organisation, at every instance.
--- a/src/turmericlug/direct/handover.py
+++ b/src/turmericlug/direct/handover.py
@@ -13,8 +13,8 @@
 
 import attrs
 
+from turmericlug.direct import attempts
 from turmericlug.direct import handover_codec
-from turmericlug.direct import obtaining
 from turmericlug.direct import peers as peers_module
 from turmericlug.direct import placement
 from turmericlug.direct import replica as replica_module
@@ -162,7 +162,7 @@
         An instance that sends the parts by itself instead opens a connection for each, too many at
         once to be in time.
         """
-        if placement.everyone_sends(sender.instances()):
+        if placement.everyone_sends(sender.instance_count()):
             return False
         left = handed.left
         if not left:
@@ -299,9 +299,11 @@
         sender.quarantine.answered(call)
     if outcome is None and handed.may_have_sent:
         place = handed.peer.entry.data_centre
-        return await obtaining.obtain(sender, call, shard, handed_to=place, again=True)
+        return await attempts.get_answer(
+            sender, call, shard, handover_data_centre=place, is_retry=True
+        )
     if outcome is None or _unknown_there(outcome):
-        return await obtaining.obtain(sender, call, shard)
+        return await attempts.get_answer(sender, call, shard)
     return outcome
 
 
--- a/src/turmericlug/direct/dialect.py
+++ b/src/turmericlug/direct/header_names.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen
-class Dialect:
+class HeaderNames:
     """Header names, in lower case."""
 
     request_id: bytes
--- a/src/turmericlug/direct/peers.py
+++ b/src/turmericlug/direct/peers.py
@@ -86,7 +86,7 @@
         """
         own = self._place.name
         phase = warm_up.phase_of(own, entry.instance)
-        instances = sender.instances()
+        instances = sender.instance_count()
         if placement.everyone_sends(instances) or not sender.is_shard(entry.service):
             return warm_up.Share(rate_per_s, instances, phase)
         owners = self.owners(entry.data_centre, entry.service)
@@ -94,13 +94,13 @@
 
     def sends_from_here(self, sender: sender_module.Sender, shard: str) -> bool:
         """Whether this instance is to send to a shard's replicas in its own data centre."""
-        if placement.everyone_sends(sender.instances()):
+        if placement.everyone_sends(sender.instance_count()):
             return True
         return self._place.name in self.owners(self._place.data_centre, shard)
 
     def slack_share(self, sender: sender_module.Sender, service: str) -> float:
         """Return this instance's part of the extra sends that a service may get."""
-        instances = sender.instances()
+        instances = sender.instance_count()
         if placement.everyone_sends(instances) or not sender.is_shard(service):
             return budget.slack_share(instances, owners=0, is_owner=False)
         data_centres = {each.entry.data_centre for each in sender.replicas.of(service)}
@@ -119,7 +119,7 @@
     ) -> list[Group]:
         """Group the shards that others should send to by the instance that is to do it."""
         by_place = self._places(sender, call.route, first, now_s)
-        shared = not placement.everyone_sends(sender.instances())
+        shared = not placement.everyone_sends(sender.instance_count())
         groups: list[Group] = []
         for data_centre, shards in by_place.items():
             if shared:
--- a/src/turmericlug/direct/quarantine.py
+++ b/src/turmericlug/direct/quarantine.py
@@ -107,9 +107,9 @@
         now_s = self._now_s()
         if not isinstance(outcome, sending.Unknown) or self.book.vouched(call.fingerprint, now_s):
             return
-        if outcome.broken_off and await self._takes_no_connection(replica):
+        if outcome.connection_lost and await self._takes_no_connection(replica):
             self._ended(call.fingerprint, replica, call.on_trial)
-        elif outcome.broken_off or outcome.reason == sending.SILENT:
+        elif outcome.connection_lost or outcome.reason == sending.NO_RESPONSE:
             key = _key(replica)
             requests = self._unsettled.setdefault(key, collections.deque(maxlen=MOST_UNSETTLED))
             requests.append(_Unsettled(call.fingerprint, now_s, call.on_trial))
--- a/src/turmericlug/direct/replica.py
+++ b/src/turmericlug/direct/replica.py
@@ -47,7 +47,7 @@
         if self.ended_s is None and self.limit is not None and not self.limit.expired():
             self.limit.reschedule(min(at_s, self.limit.when() or at_s))
 
-    def told(self, now_s: float) -> str:
+    def describe(self, now_s: float) -> str:
         """Describe where it stands, for the log."""
         if self.written_s is None:
             return f"{self.instance} waits {(now_s - self.began_s) * 1000:.0f} ms to be sent"
--- a/src/turmericlug/direct/sender.py
+++ b/src/turmericlug/direct/sender.py
@@ -10,7 +10,7 @@
 import attrs
 
 from turmericlug.direct import budget
-from turmericlug.direct import dialect
+from turmericlug.direct import header_names
 from turmericlug.direct import quarantine as quarantine_module
 from turmericlug.direct import replica as replica_module
 from turmericlug.direct import replicas as replicas_module
@@ -27,10 +27,10 @@
     """The replicas, and whatever else their sends share."""
 
     replicas: replicas_module.Replicas
-    names: dialect.Dialect
+    names: header_names.HeaderNames
     counters: counters_module.Counters
     tasks: tasks_module.Tasks
-    instances: abc.Callable[[], int]
+    instance_count: abc.Callable[[], int]
     """How many instances share the budget of extra sends."""
     handover: handover_module.Handover | None = None
     """Hands far parts to other instances; ``None``: every part is sent from here."""
@@ -47,7 +47,7 @@
     def withheld(self, call: sending.Call, replica: replica_module.Replica) -> str:
         """Return why a request must not be written to a replica now; empty when it may be."""
         if not self.quarantine.may_send(call):
-            return sending.HELD
+            return sending.QUARANTINED
         if replica.entry.data_centre in self.replicas.evacuated:
             return replicas_module.EVACUATED
         return ""
@@ -57,7 +57,7 @@
         if self.handover is not None:
             share = self.handover.peers.slack_share(self, service)
         else:
-            share = budget.slack_share(self.instances(), owners=0, is_owner=False)
+            share = budget.slack_share(self.instance_count(), owners=0, is_owner=False)
         return self.replicas.extra_sends(service).spend(now_s, share)
 
 
--- a/src/turmericlug/direct/sending.py
+++ b/src/turmericlug/direct/sending.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from turmericlug.direct import dialect as dialect_module
+from turmericlug.direct import header_names as header_names_module
 from turmericlug.direct import replica as replica_module
 from turmericlug.direct import replicas as replicas_module
 from turmericlug.direct import routes
@@ -19,9 +19,9 @@
 _MISDIRECTED_STATUS = 421
 MISDIRECTED = "misdirected"
 """Reason of a request that another replica got, which has the address by now."""
-SILENT = "silent"
+NO_RESPONSE = "silent"
 """Reason of a request that a replica got and did not answer in time."""
-HELD = "ends_replicas"
+QUARANTINED = "ends_replicas"
 """Reason of a request that is not sent on, since replicas ended under it."""
 
 
@@ -47,12 +47,12 @@
     """What an answer takes to the caller."""
     answer_at_s: float | None = None
     """When a query over shards answers with what it has."""
-    asked: dict[str, list[replica_module.Send]] = attrs.field(factory=dict)
+    sends_by_service: dict[str, list[replica_module.Send]] = attrs.field(factory=dict)
     """The sends of each service, in order."""
     handed_over: dict[str, str] = attrs.field(factory=dict)
     """The instance that was last asked to send to a shard, for each that one was."""
     hedges: int = 0
-    repeats: int = 0
+    retries: int = 0
     fingerprint: bytes = b""
     """The same for each attempt at the same request, at every instance."""
     vouched: bool = False
@@ -65,9 +65,9 @@
         """Until when an answer is worth most to the caller."""
         return self.began_s + self.route.goal_ms / 1000
 
-    def told(self, service: str, now_s: float) -> str:
+    def describe(self, service: str, now_s: float) -> str:
         """Describe what was sent to a service, for the log."""
-        told = [send.told(now_s) for send in self.asked.get(service, ())]
+        told = [send.describe(now_s) for send in self.sends_by_service.get(service, ())]
         if service in self.handed_over:
             told.insert(0, f"handed to {self.handed_over[service]}")
         return ", ".join(told) or "not sent"
@@ -76,7 +76,7 @@
         """Whether a replica of a service may have run the request, or may still."""
         if service in self.handed_over:
             return True
-        return any(send.ran for send in self.asked.get(service, ()))
+        return any(send.ran for send in self.sends_by_service.get(service, ()))
 
     def answered(self, stuck_after_s: float) -> None:
         """
@@ -85,7 +85,7 @@
         Those that end by themselves keep their connections usable. One that is silent for much
         longer than a pause has a dead connection, which would swallow the next part as well.
         """
-        for sends in self.asked.values():
+        for sends in self.sends_by_service.values():
             for send in sends:
                 send.end_by(send.began_s + stuck_after_s)
 
@@ -96,7 +96,7 @@
         It would run for nobody, and perhaps on more replicas than are allowed. Its connection may
         still open, and is kept.
         """
-        for send in self.asked.get(service, ()):
+        for send in self.sends_by_service.get(service, ()):
             send.unwanted = send.written_s is None
 
     def abandon(self) -> None:
@@ -151,7 +151,7 @@
     """No usable answer; the request may have run."""
 
     reason: str
-    broken_off: bool = False
+    connection_lost: bool = False
     """Whether the replica's connection ended while it had the request."""
 
 
@@ -164,7 +164,10 @@
 
 
 def request_for(
-    call: Call, replica: replica_module.Replica, names: dialect_module.Dialect, left_ms: int
+    call: Call,
+    replica: replica_module.Replica,
+    names: header_names_module.HeaderNames,
+    left_ms: int,
 ) -> bytes:
     """Write the request for one replica, with the time that is left and the instance it is for."""
     headers = [
@@ -179,7 +182,7 @@
     response: client.Response,
     call: Call,
     replica: replica_module.Replica,
-    names: dialect_module.Dialect,
+    names: header_names_module.HeaderNames,
 ) -> Outcome:
     """
     Tell what a response says.
@@ -217,21 +220,21 @@
             return outcome.reason
 
 
-def is_late(outcome: Outcome) -> bool:
+def timed_out(outcome: Outcome) -> bool:
     """Whether there is no answer because its time was over."""
-    return isinstance(outcome, Unknown) and outcome.reason in ("deadline", SILENT)
+    return isinstance(outcome, Unknown) and outcome.reason in ("deadline", NO_RESPONSE)
 
 
 def was_withheld(outcome: Outcome) -> bool:
     """Whether a send was not written by this instance's own decision: says nothing of a replica."""
     return isinstance(outcome, NotRun) and outcome.reason in (
         UNWANTED.reason,
-        HELD,
+        QUARANTINED,
         replicas_module.EVACUATED,
     )
 
 
-def promises_not_run(status: int) -> bool:
+def guarantees_not_run(status: int) -> bool:
     """Whether callers take a status for the promise that their request did not run."""
     return status in _PROMISE_STATUSES
 
@@ -239,13 +242,13 @@
 def _timed_out(progress: replica_module.Send) -> Outcome:
     if progress.written_s is None:
         return NotRun("no_connection_in_time", sent=False)
-    return Unknown(SILENT)
+    return Unknown(NO_RESPONSE)
 
 
 async def send(
     call: Call,
     replica: replica_module.Replica,
-    names: dialect_module.Dialect,
+    names: header_names_module.HeaderNames,
     progress: replica_module.Send,
     withheld: abc.Callable[[], str],
 ) -> Outcome:
--- a/src/turmericlug/direct/timing.py
+++ b/src/turmericlug/direct/timing.py
@@ -26,9 +26,9 @@
 """Turns of the event loop that an answer waits for: the one that decides, the one that writes."""
 UNKNOWN_LAG_MS = 5.0
 """Lag of an event loop that has not been watched for long enough."""
-HOPELESS_SHARE = 0.15
+MIN_GOAL_SHARE = 0.15
 """Share of the goal that a query needs at least: less has none of its parts answered."""
-LATE_SHARE = 0.5
+LATE_ANSWER_SHARE = 0.5
 """Share of the goal for which a query that is late in any case waits for all its parts."""
 STUCK_AFTER_S = 0.7
 """Longer than the pauses of replicas (300 ms) and a slow part together: what is silent beyond it is
@@ -38,7 +38,7 @@
 """The event loop's timers count milliseconds and fire up to half of one early."""
 
 
-def is_over(deadline_s: float, now_s: float) -> bool:
+def has_passed(deadline_s: float, now_s: float) -> bool:
     """Whether a deadline has passed, as far as the event loop's timers can tell."""
     return now_s >= deadline_s - TIMER_EARLY_S
 
--- a/src/turmericlug/direct/tracking.py
+++ b/src/turmericlug/direct/tracking.py
@@ -57,7 +57,7 @@
         return
     reason = sending.reason(outcome).partition(":")[0]
     sender.counters.add(f"direct.send_failed.{reason}")
-    if isinstance(outcome, sending.Unknown) and outcome.broken_off:
+    if isinstance(outcome, sending.Unknown) and outcome.connection_lost:
         decisions.log(
             "send.broken_off",
             request=call.request_id,
--- a/src/turmericlug/entry/callers.py
+++ b/src/turmericlug/entry/callers.py
@@ -299,7 +299,7 @@
             duration_ms=round(duration_ms, 1),
             goal_ms=call.route.goal_ms,
             hedges=call.hedges,
-            repeats=call.repeats,
+            repeats=call.retries,
         )
 
     def _refused(self, request: messages.Request, reason: str) -> messages.Answer:
--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -17,8 +17,8 @@
 import attrs
 
 from turmericlug.direct import budget
-from turmericlug.direct import dialect as dialect_module
 from turmericlug.direct import handover
+from turmericlug.direct import header_names as header_names_module
 from turmericlug.direct import peers as peers_module
 from turmericlug.direct import placement
 from turmericlug.direct import pool as pool_module
@@ -75,7 +75,7 @@
 class Adapter:
     """What differs from one kind of deployment to the next."""
 
-    names: dialect_module.Dialect
+    names: header_names_module.HeaderNames
     source: abc.Callable[[settings_module.Source, counters_module.Counters], news.Source]
     resolve_handler: abc.Callable[[directory_module.Directory], messages.Handler]
     decode: news_codec.Decode
@@ -304,7 +304,7 @@
     loop = asyncio.get_running_loop()
     peers = sender.handover.peers
     while True:
-        few = placement.everyone_sends(sender.instances())
+        few = placement.everyone_sends(sender.instance_count())
         await peers.warm(shared=not few)
         await sender.replicas.warm(
             loop.time(), lambda service: peers.sends_from_here(sender, service), far=few
--- a/src/turmericlug/entry/helping.py
+++ b/src/turmericlug/entry/helping.py
@@ -5,12 +5,12 @@
 import asyncio
 from collections import abc
 
+from turmericlug.direct import attempts
 from turmericlug.direct import content
-from turmericlug.direct import dialect
 from turmericlug.direct import handover
 from turmericlug.direct import handover_codec
+from turmericlug.direct import header_names
 from turmericlug.direct import merge
-from turmericlug.direct import obtaining
 from turmericlug.direct import routes
 from turmericlug.direct import sender as sender_module
 from turmericlug.direct import sending
@@ -78,7 +78,9 @@
     call = _call(batch, arrived_s, sender.names)
     parts = {
         loop.create_task(
-            obtaining.obtain(sender, call, shard, handed_to=batch.data_centre, again=batch.again)
+            attempts.get_answer(
+                sender, call, shard, handover_data_centre=batch.data_centre, is_retry=batch.again
+            )
         ): shard
         for shard in batch.shards
     }
@@ -138,10 +140,12 @@
         for shard in batch.shards
         if shard not in answer.signatures and shard not in answer.failures
     ]
-    return [f"{shard}: {call.told(shard, now_s)}" for shard in missing[:5]]
+    return [f"{shard}: {call.describe(shard, now_s)}" for shard in missing[:5]]
 
 
-def _call(batch: handover_codec.Batch, arrived_s: float, names: dialect.Dialect) -> sending.Call:
+def _call(
+    batch: handover_codec.Batch, arrived_s: float, names: header_names.HeaderNames
+) -> sending.Call:
     route = routes.Route(
         name=batch.route,
         host="",
--- a/src/turmericlug/platform/names.py
+++ b/src/turmericlug/platform/names.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from turmericlug.direct import dialect
+from turmericlug.direct import header_names
 from turmericlug.direct import load
 from turmericlug.platform import fields
 
@@ -19,7 +19,7 @@
     return load.Load(running, waiting, slots, slowdown)
 
 
-HEADERS = dialect.Dialect(
+HEADERS = header_names.HeaderNames(
     request_id=b"x-request-id",
     time_left=b"x-deadline-ms",
     expected_instance=b"x-expect-instance",
--- a/tests/direct/test_answering.py
+++ b/tests/direct/test_answering.py
@@ -112,7 +112,7 @@
         parts["z"] = asyncio.create_task(asyncio.sleep(30))
         await asyncio.wait([parts["x"], parts["y"]])
         parts["z"].cancel()
-        call.asked["z"] = last
+        call.sends_by_service["z"] = last
         if handed_over:
             call.handed_over["z"] = "e-2"
         return answering.conclude(sender, call, parts)
--- a/tests/direct/test_obtaining.py
+++ b/tests/direct/test_attempts.py
@@ -7,7 +7,7 @@
 import pytest
 import scripted
 
-from turmericlug.direct import obtaining
+from turmericlug.direct import attempts
 from turmericlug.direct import replica as replica_module
 from turmericlug.direct import sending
 from turmericlug.http1 import client
@@ -27,7 +27,7 @@
     async def main():
         sender = scripted.make_sender({"s": scripts}, slack)
         call = scripted.make_call(**changes)
-        outcome = await obtaining.obtain(sender, call, "s")
+        outcome = await attempts.get_answer(sender, call, "s")
         await sender.tasks.close()
         return outcome
 
@@ -130,7 +130,7 @@
 def test_what_is_shed_again_and_again_is_refused():
     outcome, requests = obtain(two([SHED], [SHED]))
     assert outcome == sending.NotRun("shed", sent=True)
-    assert sum(requests) == 2 * (1 + obtaining.MOST_PAUSES)
+    assert sum(requests) == 2 * (1 + attempts.MOST_PAUSES)
 
 
 def test_tries_again_stay_within_the_budget():
@@ -148,7 +148,7 @@
     scripts = {name: scripted.Scripted(RESET) for name in "abcd"}
     _, requests = obtain(scripts, max_attempts=3)
     assert sum(map(bool, requests)) == 3
-    assert sum(requests) == 3 + obtaining.MOST_SAME_REPLICA_RETRIES
+    assert sum(requests) == 3 + attempts.MAX_SAME_REPLICA_RETRIES
 
 
 @pytest.mark.parametrize(
@@ -211,7 +211,7 @@
     async def main():
         sender = scripted.make_sender({"s": scripts})
         call = scripted.make_call()
-        task = asyncio.create_task(obtaining.obtain(sender, call, "s"))
+        task = asyncio.create_task(attempts.get_answer(sender, call, "s"))
         while not all(script.requests for script in scripts.values()):
             await asyncio.sleep(0.005)
         task.cancel()
@@ -235,7 +235,7 @@
         loop = asyncio.get_running_loop()
         for replica in sender.replicas.all():
             replica.sends.add(replica_module.Send(loop.time() - 1.0, 0.05))
-        outcome = await obtaining.obtain(sender, scripted.make_call(), "s")
+        outcome = await attempts.get_answer(sender, scripted.make_call(), "s")
         await sender.tasks.close()
         assert isinstance(outcome, sending.Answered)
         assert sum(len(script.requests) for script in scripts.values()) == 1
@@ -276,10 +276,10 @@
     async def main():
         ended = scripted.Scripted(MOVED)
         sender = scripted.make_sender({"s": {"a": ended}})
-        first = await obtaining.obtain(sender, scripted.make_call(), "s")
+        first = await attempts.get_answer(sender, scripted.make_call(), "s")
         (replica,) = sender.replicas.all()
         replica.elsewhere_until_s -= age_s
-        second = await obtaining.obtain(sender, scripted.make_call(), "s")
+        second = await attempts.get_answer(sender, scripted.make_call(), "s")
         await sender.tasks.close()
         return first, second, len(ended.requests)
 
--- a/tests/direct/test_handover.py
+++ b/tests/direct/test_handover.py
@@ -10,9 +10,9 @@
 import scripted
 
 from turmericlug.direct import answering
+from turmericlug.direct import attempts
 from turmericlug.direct import handover
 from turmericlug.direct import handover_codec
-from turmericlug.direct import obtaining
 from turmericlug.entry import helping
 from turmericlug.http1 import client
 from turmericlug.http1 import messages
@@ -147,7 +147,7 @@
         names = ["far-", "further-", "other-"][:replicas]
         near, far = _shards(names), _shards(names)
         sender = handing.make_sender(near)
-        sender.instances = lambda: 74
+        sender.instance_count = lambda: 74
         async with handing.peer(first, interim, others=[handing.helper(far)]) as sender.handover:
             call = handing.query_call(shards=("x", "y"), min_coverage=1.0, deadline_ms=5000.0)
             ending = await answering.all_shards(sender, call)
@@ -298,7 +298,7 @@
     ("handler", "first", "reached", "sent"),
     [
         (failing, [client.ExchangeError("reset")], 1, 1),
-        (refusing, [client.ExchangeError("reset")], 2, 2 + obtaining.MOST_SAME_REPLICA_RETRIES),
+        (refusing, [client.ExchangeError("reset")], 2, 2 + attempts.MAX_SAME_REPLICA_RETRIES),
     ],
     ids=["lost", "refused"],
 )
@@ -337,7 +337,7 @@
             call.abandon()
             await sender.tasks.close()
         assert "x: not in time (handed to e-2" in ending.reason
-        assert call.told("unknown", 0.0) == "not sent"
+        assert call.describe("unknown", 0.0) == "not sent"
 
     asyncio.run(main())
 
--- a/tests/direct/test_peers.py
+++ b/tests/direct/test_peers.py
@@ -79,7 +79,7 @@
     async def main():
         scripts = {shard: {f"far-{shard}": scripted.Scripted(handing.part(1))} for shard in shards}
         sender = handing.make_sender(scripts)
-        sender.instances = lambda: 74
+        sender.instance_count = lambda: 74
         peers = replicas_module.Replicas(lambda entry: NoPool(), handing.PLACE, budget.Allowance())
         for number in range(12):
             peers.put(routes.ReplicaEntry(f"e{number}", "far", "h", 1, "far", 1, False, 0))
--- a/tests/direct/test_quarantine.py
+++ b/tests/direct/test_quarantine.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from turmericlug.direct import answering
-from turmericlug.direct import obtaining
+from turmericlug.direct import attempts
 from turmericlug.direct import quarantine
 from turmericlug.direct import sending
 from turmericlug.direct import trial
@@ -91,7 +91,7 @@
     """
 
     async def scenario(sender, call):
-        await obtaining.obtain(sender, call, "s")
+        await attempts.get_answer(sender, call, "s")
         if gone:
             sender.replicas.put(scripted.entry("a", "s", draining=leaving))
             sender.replicas.remove("a")
@@ -107,7 +107,7 @@
 def test_a_replica_that_starts_again_under_its_name_has_ended():
     async def scenario(sender, call):
         sender.replicas.put(scripted.entry("a", "s", born_ms=1))
-        await obtaining.obtain(sender, call, "s")
+        await attempts.get_answer(sender, call, "s")
         sender.replicas.put(scripted.entry("a", "s", born_ms=2))
         return list(sender.quarantine.book.records[Q].ends)
 
@@ -118,7 +118,7 @@
     """A machine goes dark under a request: its connections stay open, and its entry lapses."""
 
     async def scenario(sender, call):
-        await obtaining.obtain(sender, call, "s")
+        await attempts.get_answer(sender, call, "s")
         sender.replicas.remove("a")
         return len(sender.quarantine.book.records[Q].ends)
 
@@ -394,7 +394,7 @@
         assert ending is None
         return
     assert (ending.outcome, ending.answer.status, ending.answer.headers) == ("failed", 500, ())
-    assert not sending.promises_not_run(ending.answer.status)
+    assert not sending.guarantees_not_run(ending.answer.status)
 
 
 def test_what_is_under_way_is_broken_off_and_ends():
@@ -425,7 +425,7 @@
         (replica,) = sender.replicas.of("s")
         for number in range(3 * quarantine.MOST_UNSETTLED):
             call.fingerprint = b"%d" % number
-            await sender.quarantine.settle(call, replica, sending.Unknown(sending.SILENT))
+            await sender.quarantine.settle(call, replica, sending.Unknown(sending.NO_RESPONSE))
         kept = sum(len(each) for each in sender.quarantine._unsettled.values())
         sender.quarantine._now_s = lambda: 1e9
         sender.quarantine.forget()
--- a/tests/direct/test_regions.py
+++ b/tests/direct/test_regions.py
@@ -10,8 +10,8 @@
 import scripted
 
 from turmericlug.direct import answering
+from turmericlug.direct import attempts
 from turmericlug.direct import handover_codec
-from turmericlug.direct import obtaining
 from turmericlug.direct import replicas as replicas_module
 from turmericlug.direct import sending
 from turmericlug.direct import trial
@@ -175,7 +175,7 @@
 
     async def scenario(sender, call):
         evacuate(sender, *data_centres)
-        return await obtaining.obtain(sender, call, "s")
+        return await attempts.get_answer(sender, call, "s")
 
     outcome = play({"s": replicas}, scenario, max_attempts=3)
     assert reached(replicas) <= allowed
@@ -202,7 +202,7 @@
         replicas = {"near-1": OpensLate(GOOD), "far-1": scripted.Scripted(GOOD)}
         sender = handing.make_sender({"s": replicas})
         call = scripted.make_call(idempotent=False)
-        sent = asyncio.create_task(obtaining.obtain(sender, call, "s"))
+        sent = asyncio.create_task(attempts.get_answer(sender, call, "s"))
         await asyncio.sleep(0.01)
         evacuate(sender, "near")
         replicas["near-1"].let.set()
@@ -225,7 +225,7 @@
         evacuate(sender, "near")
         assert sender.replicas.end_evacuation("near", 2.0) == 2.0
         assert sender.replicas.end_evacuation("near", 3.0) == 0.0
-        return await obtaining.obtain(sender, call, "s")
+        return await attempts.get_answer(sender, call, "s")
 
     assert isinstance(play({"s": replicas}, scenario), sending.Answered)
 
@@ -262,7 +262,7 @@
         )
         sender.replicas.put(entry, loop.time())
         sender.replicas.cold_limit = lambda entry: share
-        return [await obtaining.obtain(sender, call, "s") for _ in range(4)]
+        return [await attempts.get_answer(sender, call, "s") for _ in range(4)]
 
     outcomes = play({"s": replicas}, scenario)
     assert len(replicas["near-1"].requests) == most
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -35,27 +35,27 @@
         "direct/sending.py",
         "if echoed is not None and echoed != call.request_id:",
         "if echoed is None:",
-        "direct/test_obtaining.py::test_what_is_sent_again",
+        "direct/test_attempts.py::test_what_is_sent_again",
     ),
     mutant.one(
         "repeat-what-may-have-run",
-        "direct/obtaining.py",
+        "direct/attempts.py",
         "    if not call.route.idempotent and not isinstance(failure, sending.NotRun):\n"
         "        return\n",
         "",
-        "direct/test_obtaining.py::test_what_is_sent_again",
+        "direct/test_attempts.py::test_what_is_sent_again",
     ),
     mutant.one(
         "refuse-what-may-have-run",
-        "direct/obtaining.py",
+        "direct/attempts.py",
         "    if isinstance(effort.failure, sending.NotRun):\n        effort.failure = outcome",
         "    effort.failure = outcome",
-        "direct/test_obtaining.py::test_after_a_run_that_may_have_begun_nothing_is_promised",
+        "direct/test_attempts.py::test_after_a_run_that_may_have_begun_nothing_is_promised",
     ),
     mutant.one(
         "pass-on-a-false-promise",
         "direct/answering.py",
-        "    if sending.promises_not_run(status):\n",
+        "    if sending.guarantees_not_run(status):\n",
         "    if not status:\n",
         "direct/test_answering.py::test_single",
     ),
@@ -75,17 +75,17 @@
     ),
     mutant.one(
         "hedge-without-limit",
-        "direct/obtaining.py",
+        "direct/attempts.py",
         "        and effort.attempts < call.route.max_attempts\n",
         "",
-        "direct/test_obtaining.py::test_a_late_send_is_not_hedged_beyond_the_routes_attempts",
+        "direct/test_attempts.py::test_a_late_send_is_not_hedged_beyond_the_routes_attempts",
     ),
     mutant.one(
         "hedge-into-load",
-        "direct/obtaining.py",
+        "direct/attempts.py",
         "    if other.overdue(now_s):",
         "    if not other.entry:",
-        "direct/test_obtaining.py::test_no_hedge_where_every_replica_is_late",
+        "direct/test_attempts.py::test_no_hedge_where_every_replica_is_late",
     ),
     mutant.one(
         "no-expected-instance",
@@ -145,7 +145,7 @@
     ),
     mutant.one(
         "lost-batch-starts-over",
-        "direct/obtaining.py",
+        "direct/attempts.py",
         "        effort.attempts = call.route.max_attempts - 1\n",
         "",
         "direct/test_handover.py::test_attempts_after_a_batch",
@@ -166,8 +166,8 @@
     ),
     mutant.one(
         "any-replica-of-a-handed-part",
-        "direct/obtaining.py",
-        "    if handed_to:\n",
+        "direct/attempts.py",
+        "    if handover_data_centre:\n",
         "    if not loop:\n",
         "direct/test_handover.py"
         "::test_a_batch_that_is_run_twice_reaches_no_more_replicas_than_allowed",
@@ -403,7 +403,7 @@
         "direct/tracking.py",
         "        replica.misdirected(now_s)\n",
         "        replica.full_until_s = now_s + replica_module.SHED_PAUSE_S\n",
-        "direct/test_obtaining.py::test_an_address_that_is_anothers_gets_nothing_more",
+        "direct/test_attempts.py::test_an_address_that_is_anothers_gets_nothing_more",
     ),
     mutant.one(
         "goals-from-arrival",
@@ -463,17 +463,17 @@
     ),
     mutant.one(
         "no-try-after-a-pause",
-        "direct/obtaining.py",
+        "direct/attempts.py",
         "    if not (effort.shed_by or held) or effort.pauses >= MOST_PAUSES:",
         "    if not held:",
-        "direct/test_obtaining.py::test_replicas_that_all_shed_are_tried_again",
+        "direct/test_attempts.py::test_replicas_that_all_shed_are_tried_again",
     ),
     mutant.one(
         "third-replica-after-a-pause",
-        "direct/obtaining.py",
+        "direct/attempts.py",
         "    if len(reached) >= call.route.max_attempts:",
         "    if len(reached) > 99:",
-        "direct/test_obtaining.py::test_replicas_that_all_shed_are_tried_again",
+        "direct/test_attempts.py::test_replicas_that_all_shed_are_tried_again",
     ),
     mutant.one(
         "wait-with-news-that-get-old",
@@ -556,8 +556,8 @@
     mutant.one(
         "a-reset-is-an-end",
         "direct/quarantine.py",
-        "        if outcome.broken_off and await self._takes_no_connection(replica):",
-        "        if outcome.broken_off:",
+        "        if outcome.connection_lost and await self._takes_no_connection(replica):",
+        "        if outcome.connection_lost:",
         "direct/test_quarantine.py::test_what_counts_as_an_end",
     ),
     mutant.one(
@@ -656,31 +656,31 @@
     ),
     mutant.one(
         "fixed-pair-for-a-handed-part",
-        "direct/obtaining.py",
-        "    if not again:\n",
+        "direct/attempts.py",
+        "    if not is_retry:\n",
         "    others = sender.replicas.open_to(service, call.route)\n"
         "    rest = [each for each in others if each.entry.instance != effort.common]\n"
         "    effort.closed = rest[-1:] if effort.common else []\n"
-        "    if not again:\n",
+        "    if not is_retry:\n",
         "direct/test_handover.py::test_a_late_part_goes_to_the_better_of_the_other_replicas",
     ),
     mutant.one(
         "never-back-to-a-replica",
-        "direct/obtaining.py",
+        "direct/attempts.py",
         "        return False\n    effort.same_replica_retries += 1",
         "        return False\n    return False\n    effort.same_replica_retries += 1",
-        "direct/test_obtaining.py::test_a_part_goes_back_to_a_replica_that_failed_it",
+        "direct/test_attempts.py::test_a_part_goes_back_to_a_replica_that_failed_it",
     ),
     mutant.one(
         "hedge-after-a-stall",
-        "direct/obtaining.py",
+        "direct/attempts.py",
         "        elif now_s - due_s > TIMER_LATE_S and not effort.hedge_from_s:",
         "        elif not loop:",
         "direct/test_quarantine.py::test_a_stall_of_this_process_is_no_reason_to_hedge",
     ),
     mutant.one(
         "hedge-what-has-ended",
-        "direct/obtaining.py",
+        "direct/attempts.py",
         "        and all(each.send.ended_s is None for each in effort.pending.values())\n",
         "",
         "direct/test_quarantine.py::"
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from turmericlug.direct import budget
-from turmericlug.direct import dialect
+from turmericlug.direct import header_names
 from turmericlug.direct import placement
 from turmericlug.direct import pool as pool_module
 from turmericlug.direct import replicas as replicas_module
@@ -16,7 +16,7 @@
 from turmericlug.kernel import tasks
 from turmericlug.telemetry import counters
 
-NAMES = dialect.Dialect(
+NAMES = header_names.HeaderNames(
     request_id=b"request-id",
     time_left=b"time-left",
     expected_instance=b"expected",
