--- a/src/turmericlug/direct/__init__.py
+++ b/src/turmericlug/direct/__init__.py
@@ -1,1 +1,1 @@
-"""Sending to replicas from the instance that took the request: routes, choice, limits, merging."""
+"""Request forwarding to replicas: routing, replica selection, hedging, limits and merging."""
--- a/src/turmericlug/direct/attempts.py
+++ b/src/turmericlug/direct/attempts.py
@@ -1,4 +1,4 @@
-"""Getting one answer out of the replicas of one service: first send, hedge, repeat."""
+"""Get one answer from the replicas of one service: first attempt, hedge and retries."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 from turmericlug.direct import tracking
 from turmericlug.telemetry import decisions
 
-SHED_AGAIN_S = 0.015
-"""Pause before replicas that have all shed a request are tried again: a service time or two, and
-twice as long each time."""
-MOST_PAUSES = 4
-"""Pauses of one request: 0.23 s in all. What is shed as often is refused while its caller can still
-go elsewhere."""
-TIMER_LATE_S = 0.005
-"""A timer that is later than this was held up: this process stood still."""
-CATCH_UP_S = 0.01
-"""Time to read what came in while this process stood still."""
+RETRY_DELAY_S = 0.015
+"""Delay before the first retry at replicas that have all shed a request: one or two service times.
+It doubles with each further retry."""
+MAX_DELAYED_RETRIES = 4
+"""Delayed retries per request: 0.23 s in total. A request that is still shed after that is refused
+while its caller has time to try another instance."""
+STALL_THRESHOLD_S = 0.005
+"""Lateness of a timer from which this process counts as having been stalled."""
+STALL_CATCH_UP_S = 0.01
+"""Time after a stall to read the responses that arrived during it."""
 MAX_SAME_REPLICA_RETRIES = 2
-"""Sends to replicas that have failed a request before, once it may reach no other. Replicas that
-lose part of their answers give the next one in many cases."""
-MOST_UNSENT = 3
-"""Sends that found no connection do not count as attempts; a service whose replicas all refuse
-connections is given up after this many."""
+"""Retries at replicas that have failed the request before, once it may reach no others. A replica
+that loses part of its responses often delivers the next one."""
+MAX_UNSENT = 3
+"""Requests that got no connection do not count as attempts; after more than this many, a service
+whose replicas all refuse connections is given up."""
 
 
 @attrs.define(eq=False)
 class _Pending:
-    """A send under way."""
+    """An attempt in flight."""
 
     replica: replica_module.Replica
     send: replica_module.Send
@@ -46,39 +46,39 @@
 
 
 @attrs.define(eq=False)
-class _Effort:
-    """The sends of one request to one service."""
+class _AttemptState:
+    """The state of one request's attempts at one service."""
 
     sender: sender_module.Sender
     call: sending.Call
     service: str
-    common: str = ""
-    """The replica that any other instance may send it to as well, so that it takes up one of those
+    shared_replica: str = ""
+    """The replica that other instances may send the request to as well; it counts as one of those
     that the request may reach."""
-    closed: list[replica_module.Replica] = attrs.field(factory=list)
-    """Replicas that it must not reach."""
+    forbidden: list[replica_module.Replica] = attrs.field(factory=list)
+    """Replicas that the request must not be sent to."""
     tried: list[replica_module.Replica] = attrs.field(factory=list)
-    """Replicas that it was sent to, but for those that may be tried again."""
+    """Replicas that the request was sent to, except those that may be retried."""
     reached: collections.Counter[str] = attrs.field(factory=collections.Counter)
-    """How often it was sent to each instance, but for sends that found no connection."""
+    """Number of attempts per replica, except those that got no connection."""
     shed_by: list[replica_module.Replica] = attrs.field(factory=list)
-    """Replicas that were full and have run nothing."""
+    """Replicas that shed the request without running it."""
     failed_by: list[replica_module.Replica] = attrs.field(factory=list)
-    """Replicas that gave a failure, or no usable answer, before its time was over."""
+    """Replicas that returned an error or no usable response before the timeout."""
     same_replica_retries: int = 0
-    """Sends to replicas that had failed it."""
-    pauses: int = 0
-    again_at_s: float | None = None
-    """When replicas that were full are tried again, while nothing is under way."""
+    """Retries at replicas that had failed the request."""
+    delayed_retries: int = 0
+    retry_at_s: float | None = None
+    """When to retry after the current delay, if no attempt is in flight."""
     pending: dict[asyncio.Task[sending.Outcome], _Pending] = attrs.field(factory=dict)
     attempts: int = 0
-    """Sends that may have run."""
+    """Attempts that may have run the request."""
     unsent: int = 0
     hedge_denied: bool = False
-    hedge_from_s: float = 0.0
-    """Until when nothing is hedged, as this process stood still."""
+    hedge_not_before_s: float = 0.0
+    """When hedging resumes after a stall of this process; 0 if there was none."""
     failure: sending.Outcome = sending.NotRun(replicas_module.NO_REPLICA, sent=False)
-    """The last failure, or one after which the request may have run, if there was any."""
+    """The last failure after which the request may have run; if there is none, the last failure."""
 
 
 async def get_answer(
@@ -92,15 +92,15 @@
     """
     Get one answer from a service.
 
-    Cancelling it leaves sends under way to finish by themselves, so that their connections can be
-    used again; ``call.abandon`` ends them.
+    Cancelling it leaves attempts in flight to complete, so that their connections can be reused;
+    ``call.abandon`` cancels them.
 
-    :param first: the replica to send to first, where it has been chosen already
-    :param handover_data_centre: data centre whose instances the part was handed to, if it was; all
-        of them keep to the same replicas
-    :param is_retry: whether one of them may have sent it before; one send is left then, within the
-        budget of extra sends
-    :returns: the first answer, or the failure; ``NotRun`` only when no attempt can have run
+    :param first: replica for the first attempt, if it has been chosen already
+    :param handover_data_centre: data centre whose instances the part was handed over to, if it was;
+        all of them use the same replicas
+    :param is_retry: whether one of them may have sent the request before; it then gets one more
+        attempt, within the budget for hedges and retries
+    :returns: the first answer, or the failure; ``NotRun`` only if no attempt can have run
     """
     if not sender.quarantine.may_send(call):
         return (
@@ -109,190 +109,194 @@
             else sending.NotRun(sending.QUARANTINED, sent=False)
         )
     loop = asyncio.get_running_loop()
-    effort = _Effort(sender, call, service)
+    state = _AttemptState(sender, call, service)
     if handover_data_centre:
-        effort.common = sender.replicas.common(
+        state.shared_replica = sender.replicas.common(
             service, call.route, call.request_id, handover_data_centre
         )
     if not is_retry:
         sender.replicas.extra_sends(service).count_request(loop.time())
-    elif call.route.max_attempts < 2 or not sender.may_send_again(service, loop.time()):
+    elif call.route.max_attempts < 2 or not sender.spend_retry_budget(service, loop.time()):
         sender.counters.add("direct.repeat_denied.budget")
         return sending.Unknown("budget")
     else:
-        effort.attempts = call.route.max_attempts - 1
-        effort.same_replica_retries = MAX_SAME_REPLICA_RETRIES
-        replicas = sender.replicas.of(service) if effort.common else []
-        effort.closed = [each for each in replicas if each.entry.instance != effort.common]
-        effort.failure = sending.Unknown("batch_lost")
+        state.attempts = call.route.max_attempts - 1
+        state.same_replica_retries = MAX_SAME_REPLICA_RETRIES
+        replicas = sender.replicas.of(service) if state.shared_replica else []
+        state.forbidden = [each for each in replicas if each.entry.instance != state.shared_replica]
+        state.failure = sending.Unknown("batch_lost")
     try:
-        return await _first_answer(effort, first)
+        return await _first_answer(state, first)
     finally:
-        # Also when the query or its caller waits no longer.
+        # Also if this is cancelled because the query or its caller has stopped waiting.
         call.drop_unwritten(service)
 
 
-async def _first_answer(effort: _Effort, first: replica_module.Replica | None) -> sending.Outcome:
-    """Send, hedge and repeat until there is an answer or nothing more may be sent."""
+async def _first_answer(
+    state: _AttemptState, first: replica_module.Replica | None
+) -> sending.Outcome:
+    """Send, hedge and retry until there is an answer or no further attempt is allowed."""
     loop = asyncio.get_running_loop()
-    call = effort.call
+    call = state.call
     if first is not None:
-        _send_to(effort, first, loop.time())
+        _send_to(state, first, loop.time())
     else:
-        _start(effort, loop.time())
-    while effort.pending or effort.again_at_s is not None:
-        if not effort.pending:
-            await _pause_over(effort)
+        _send_first(state, loop.time())
+    while state.pending or state.retry_at_s is not None:
+        if not state.pending:
+            await _retry_when_due(state)
             continue
-        patience_s = _patience_s(effort, loop.time())
-        due_s = loop.time() + patience_s
+        timeout_s = _wait_timeout_s(state, loop.time())
+        due_s = loop.time() + timeout_s
         done, _ = await asyncio.wait(
-            effort.pending, timeout=patience_s, return_when=asyncio.FIRST_COMPLETED
+            state.pending, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED
         )
         for task in done:
-            pending = effort.pending.pop(task)
-            # One that was abandoned before its first turn has no result.
+            pending = state.pending.pop(task)
+            # A task that was cancelled before it started has no result.
             outcome = sending.ABANDONED if task.cancelled() else task.result()
             if isinstance(outcome, sending.Answered):
                 return outcome
-            _take_failure(effort, outcome, pending.replica)
+            _record_failure(state, outcome, pending.replica)
         now_s = loop.time()
         if timing.has_passed(call.deadline_s, now_s):
-            return _at_deadline(effort)
+            return _deadline_outcome(state)
         if done:
-            _repeat(effort, now_s)
-        elif now_s - due_s > TIMER_LATE_S and not effort.hedge_from_s:
-            # The answer, or the end of the replica, may have come in meanwhile.
-            effort.hedge_from_s = now_s + CATCH_UP_S
+            _retry(state, now_s)
+        elif now_s - due_s > STALL_THRESHOLD_S and not state.hedge_not_before_s:
+            # The response, or the news of the replica's crash, may have arrived during the stall.
+            state.hedge_not_before_s = now_s + STALL_CATCH_UP_S
         else:
-            _hedge(effort, now_s)
-    return effort.failure
+            _hedge(state, now_s)
+    return state.failure
 
 
-def _at_deadline(effort: _Effort) -> sending.Outcome:
-    """What is under way may still run, so that nothing can be promised any more."""
-    if effort.pending and isinstance(effort.failure, sending.NotRun):
+def _deadline_outcome(state: _AttemptState) -> sending.Outcome:
+    """Return the outcome at the deadline: ``NotRun`` only if no attempt in flight may still run."""
+    if state.pending and isinstance(state.failure, sending.NotRun):
         return sending.Unknown("deadline")
-    return effort.failure
+    return state.failure
 
 
-def _patience_s(effort: _Effort, now_s: float) -> float:
-    """Return how long to wait for the pending sends until a hedge or the deadline is due."""
-    left_s = max(effort.call.deadline_s - now_s, 0.0)
-    if not _may_hedge(effort):
+def _wait_timeout_s(state: _AttemptState, now_s: float) -> float:
+    """Return how long to wait for pending attempts until a hedge or the deadline is due."""
+    left_s = max(state.call.deadline_s - now_s, 0.0)
+    if not _may_hedge(state):
         return left_s
-    (pending,) = effort.pending.values()
-    hedge_at_s = max(pending.began_s + _hedge_ms(effort, pending) / 1000, effort.hedge_from_s)
+    (pending,) = state.pending.values()
+    hedge_at_s = max(
+        pending.began_s + _hedge_age_ms(state, pending) / 1000, state.hedge_not_before_s
+    )
     return min(max(hedge_at_s - now_s, 0.0), left_s)
 
 
-def _hedge_ms(effort: _Effort, pending: _Pending) -> float:
-    """Return the age at which a pending send is hedged."""
-    replicas, call = effort.sender.replicas, effort.call
-    late_ms = replicas.hedge_after_ms(pending.replica, call.route)
+def _hedge_age_ms(state: _AttemptState, pending: _Pending) -> float:
+    """Return the age at which a pending attempt is hedged."""
+    replicas, call = state.sender.replicas, state.call
+    late_after_ms = replicas.hedge_after_ms(pending.replica, call.route)
     if call.answer_at_s is None:
-        return late_ms
+        return late_after_ms
     left_ms = (call.answer_at_s - pending.began_s) * 1000
-    second_ms = replicas.slowest_usual_ms(effort.service, call.route)
-    return timing.hedge_by_ms(late_ms, left_ms, second_ms)
+    second_ms = replicas.slowest_usual_ms(state.service, call.route)
+    return timing.deferred_hedge_ms(late_after_ms, left_ms, second_ms)
 
 
-def _may_hedge(effort: _Effort) -> bool:
-    """Whether the one send under way is hedged once it is late; not one that has ended already."""
-    call = effort.call
+def _may_hedge(state: _AttemptState) -> bool:
+    """Whether the only attempt in flight, not yet completed, may be hedged once it is late."""
+    call = state.call
     return (
         call.route.idempotent
-        and len(effort.pending) == 1
-        and all(each.send.ended_s is None for each in effort.pending.values())
-        and effort.attempts < call.route.max_attempts
-        and not effort.hedge_denied
+        and len(state.pending) == 1
+        and all(each.send.ended_s is None for each in state.pending.values())
+        and state.attempts < call.route.max_attempts
+        and not state.hedge_denied
     )
 
 
-def _take_failure(
-    effort: _Effort, outcome: sending.Outcome, replica: replica_module.Replica
+def _record_failure(
+    state: _AttemptState, outcome: sending.Outcome, replica: replica_module.Replica
 ) -> None:
     if not isinstance(outcome, sending.NotRun):
-        effort.failure = outcome
+        state.failure = outcome
         if not sending.timed_out(outcome) and outcome != sending.ABANDONED:
-            effort.failed_by.append(replica)
+            state.failed_by.append(replica)
         return
-    effort.attempts -= 1
+    state.attempts -= 1
     if not outcome.sent:
-        effort.unsent += 1
-        effort.reached[replica.entry.instance] -= 1
+        state.unsent += 1
+        state.reached[replica.entry.instance] -= 1
     elif outcome.reason != sending.MISDIRECTED:
-        effort.shed_by.append(replica)
-    if isinstance(effort.failure, sending.NotRun):
-        effort.failure = outcome
+        state.shed_by.append(replica)
+    if isinstance(state.failure, sending.NotRun):
+        state.failure = outcome
 
 
-def _hedge(effort: _Effort, now_s: float) -> None:
-    sender, call = effort.sender, effort.call
-    if not _may_hedge(effort):
+def _hedge(state: _AttemptState, now_s: float) -> None:
+    sender, call = state.sender, state.call
+    if not _may_hedge(state):
         return
-    (pending,) = effort.pending.values()
-    other = _choose(effort, now_s)
-    denied = _hedge_denied(effort, other, now_s)
-    if denied:
-        effort.hedge_denied = True
-        sender.counters.add(f"direct.hedge_denied.{denied}")
+    (pending,) = state.pending.values()
+    other = _choose(state, now_s)
+    denial = _hedge_denial(state, other, now_s)
+    if denial:
+        state.hedge_denied = True
+        sender.counters.add(f"direct.hedge_denied.{denial}")
         return
     call.hedges += 1
     sender.counters.add("direct.hedge.sent")
     decisions.log(
         "send.hedged",
         request=call.request_id,
-        service=effort.service,
+        service=state.service,
         late=pending.replica.entry.instance,
         to=other.entry.instance,
         age_ms=round((now_s - pending.began_s) * 1000, 1),
     )
-    _send_to(effort, other, now_s)
+    _send_to(state, other, now_s)
 
 
-def _hedge_denied(effort: _Effort, other: replica_module.Replica | None, now_s: float) -> str:
+def _hedge_denial(state: _AttemptState, other: replica_module.Replica | None, now_s: float) -> str:
     """
-    Return why a late part is not sent a second time; empty when it may be.
+    Return why a late part must not be hedged; empty if it may be.
 
-    Where the other replicas are late as well the cause is load, not a pause, and more sends make
-    all answers later.
+    If the other replica is late as well, the cause is load rather than a pause, and further
+    attempts would delay every response.
     """
     if other is None:
         return replicas_module.NO_REPLICA
-    if not effort.sender.quarantine.may_send(effort.call):
+    if not state.sender.quarantine.may_send(state.call):
         return "ends_replicas"
     if other.overdue(now_s):
         return "all_late"
-    return "" if effort.sender.may_send_again(effort.service, now_s) else "budget"
+    return "" if state.sender.spend_retry_budget(state.service, now_s) else "budget"
 
 
-def _repeat(effort: _Effort, now_s: float) -> None:
-    """Send once more after a failure, if that can't make the request run twice by our doing."""
-    sender, call = effort.sender, effort.call
-    failure = effort.failure
-    if effort.pending:
+def _retry(state: _AttemptState, now_s: float) -> None:
+    """Retry after a failure, unless this could make a non-idempotent request run twice."""
+    sender, call = state.sender, state.call
+    failure = state.failure
+    if state.pending:
         return
-    if effort.attempts >= call.route.max_attempts and not _retries_same_replica(effort):
+    if state.attempts >= call.route.max_attempts and not _readmit_failed_replicas(state):
         return
-    if effort.unsent > MOST_UNSENT:
+    if state.unsent > MAX_UNSENT:
         return
     if not call.route.idempotent and not isinstance(failure, sending.NotRun):
         return
     if not sender.quarantine.may_send(call):
-        # Another part's answer may clear it in a moment.
+        # A replica's answer to another part may clear the request shortly.
         sender.counters.add("direct.repeat_denied.ends_replicas")
-        _pause(effort, now_s, held=sender.quarantine.is_suspected(call))
+        _schedule_retry(state, now_s, suspected=sender.quarantine.is_suspected(call))
         return
-    replica = _choose(effort, now_s)
+    replica = _choose(state, now_s)
     if replica is None:
-        _pause(effort, now_s)
+        _schedule_retry(state, now_s)
         return
     reason = sending.reason(failure).partition(":")[0]
-    if effort.reached.total() and not sender.may_send_again(effort.service, now_s):
+    if state.reached.total() and not sender.spend_retry_budget(state.service, now_s):
         sender.counters.add("direct.repeat_denied.budget")
         decisions.log(
-            "send.not_repeated", request=call.request_id, service=effort.service, reason=reason
+            "send.not_repeated", request=call.request_id, service=state.service, reason=reason
         )
         return
     call.retries += 1
@@ -300,93 +304,97 @@
     decisions.log(
         "send.repeated",
         request=call.request_id,
-        service=effort.service,
+        service=state.service,
         reason=reason,
         to=replica.entry.instance,
         left_ms=round((call.deadline_s - now_s) * 1000),
     )
-    _send_to(effort, replica, now_s)
+    _send_to(state, replica, now_s)
 
 
-def _retries_same_replica(effort: _Effort) -> bool:
-    """Whether a request that may reach no further replica goes back to one that failed it."""
-    call = effort.call
-    if not call.route.idempotent or call.route.max_attempts < 2 or not effort.failed_by:
+def _readmit_failed_replicas(state: _AttemptState) -> bool:
+    """
+    Allow a retry at replicas that failed the request, as it may reach no further ones.
+
+    :returns: whether such a retry is allowed
+    """
+    call = state.call
+    if not call.route.idempotent or call.route.max_attempts < 2 or not state.failed_by:
         return False
-    if effort.same_replica_retries >= MAX_SAME_REPLICA_RETRIES:
+    if state.same_replica_retries >= MAX_SAME_REPLICA_RETRIES:
         return False
-    effort.same_replica_retries += 1
-    effort.tried = [each for each in effort.tried if each not in effort.failed_by]
+    state.same_replica_retries += 1
+    state.tried = [each for each in state.tried if each not in state.failed_by]
     return True
 
 
-def _pause(effort: _Effort, now_s: float, held: bool = False) -> None:
+def _schedule_retry(state: _AttemptState, now_s: float, suspected: bool = False) -> None:
     """
-    Plan to try replicas again that were full, once nothing else is left to try.
+    Schedule a retry at replicas that shed the request, once no other replica is left to try.
 
-    They have run nothing, so that a send to them is none to a further replica.
+    They have not run it, so sending it to them again does not reach a further replica.
 
-    :param held: whether the request is only held back, from any replica
+    :param suspected: whether the request is withheld from all replicas only because it is suspected
     """
-    pause_s = SHED_AGAIN_S * 2**effort.pauses * effort.sender.rng.uniform(0.75, 1.25)
-    if not (effort.shed_by or held) or effort.pauses >= MOST_PAUSES:
+    delay_s = RETRY_DELAY_S * 2**state.delayed_retries * state.sender.rng.uniform(0.75, 1.25)
+    if not (state.shed_by or suspected) or state.delayed_retries >= MAX_DELAYED_RETRIES:
         return
-    if now_s + pause_s < effort.call.deadline_s:
-        effort.again_at_s = now_s + pause_s
+    if now_s + delay_s < state.call.deadline_s:
+        state.retry_at_s = now_s + delay_s
 
 
-async def _pause_over(effort: _Effort) -> None:
-    """Wait until replicas that were full are due again, and send to one of them."""
+async def _retry_when_due(state: _AttemptState) -> None:
+    """Wait for the scheduled retry, readmit the replicas that shed the request, and retry."""
     loop = asyncio.get_running_loop()
-    await asyncio.sleep(max(effort.again_at_s - loop.time(), 0.0))
-    effort.again_at_s = None
-    effort.pauses += 1
-    effort.tried = [each for each in effort.tried if each not in effort.shed_by]
-    effort.shed_by.clear()
-    _repeat(effort, loop.time())
+    await asyncio.sleep(max(state.retry_at_s - loop.time(), 0.0))
+    state.retry_at_s = None
+    state.delayed_retries += 1
+    state.tried = [each for each in state.tried if each not in state.shed_by]
+    state.shed_by.clear()
+    _retry(state, loop.time())
 
 
-def _start(effort: _Effort, now_s: float) -> None:
-    """Send to the best replica, if there is one."""
-    replica = _choose(effort, now_s)
+def _send_first(state: _AttemptState, now_s: float) -> None:
+    """Make the first attempt at the best replica, if there is one."""
+    replica = _choose(state, now_s)
     if replica is not None:
-        _send_to(effort, replica, now_s)
+        _send_to(state, replica, now_s)
         return
-    reason = effort.sender.replicas.why_none(effort.service, effort.call.route, now_s)
-    if isinstance(effort.failure, sending.NotRun):
-        effort.failure = sending.NotRun(reason, sent=False)
+    reason = state.sender.replicas.why_none(state.service, state.call.route, now_s)
+    if isinstance(state.failure, sending.NotRun):
+        state.failure = sending.NotRun(reason, sent=False)
 
 
-def _choose(effort: _Effort, now_s: float) -> replica_module.Replica | None:
+def _choose(state: _AttemptState, now_s: float) -> replica_module.Replica | None:
     """Choose the best replica that the request may be sent to now."""
-    replicas, call = effort.sender.replicas, effort.call
-    excluded = [*effort.closed, *effort.tried]
-    reached = {name for name, count in effort.reached.items() if count}
-    if effort.common:
-        reached.add(effort.common)
+    replicas, call = state.sender.replicas, state.call
+    excluded = [*state.forbidden, *state.tried]
+    reached = {name for name, count in state.reached.items() if count}
+    if state.shared_replica:
+        reached.add(state.shared_replica)
     if len(reached) >= call.route.max_attempts:
         excluded += [
-            each for each in replicas.of(effort.service) if each.entry.instance not in reached
+            each for each in replicas.of(state.service) if each.entry.instance not in reached
         ]
-    return replicas.choose(effort.service, call.route, excluded, now_s)
+    return replicas.choose(state.service, call.route, excluded, now_s)
 
 
-def _send_to(effort: _Effort, replica: replica_module.Replica, now_s: float) -> None:
-    sender, call = effort.sender, effort.call
-    late_ms = sender.replicas.hedge_after_ms(replica, call.route)
-    send = replica_module.Send(now_s, late_ms / 1000, replica.entry.instance)
-    # Noted before its task runs: what is given up in the same turn must find it.
+def _send_to(state: _AttemptState, replica: replica_module.Replica, now_s: float) -> None:
+    sender, call = state.sender, state.call
+    late_after_ms = sender.replicas.hedge_after_ms(replica, call.route)
+    send = replica_module.Send(now_s, late_after_ms / 1000, replica.entry.instance)
+    # Registered before its task runs, so that a cancellation in the same loop iteration finds it.
     replica.sends.add(send)
     if replica.is_cold(now_s):
         replica.cold_sent_s = now_s
-    call.sends_by_service.setdefault(effort.service, []).append(send)
-    task = sender.tasks.start(tracking.tracked(sender, call, replica, send))
+    call.sends_by_service.setdefault(state.service, []).append(send)
+    task = sender.tasks.start(tracking.send_and_record(sender, call, replica, send))
     near = sender.replicas.is_near(replica.entry.data_centre)
     sender.counters.add("direct.sent.near" if near else "direct.sent.far")
     call.sends.add(task)
     task.add_done_callback(call.sends.discard)
     task.add_done_callback(lambda _: replica.sends.discard(send))
-    effort.tried.append(replica)
-    effort.reached[replica.entry.instance] += 1
-    effort.pending[task] = _Pending(replica, send)
-    effort.attempts += 1
+    state.tried.append(replica)
+    state.reached[replica.entry.instance] += 1
+    state.pending[task] = _Pending(replica, send)
+    state.attempts += 1
--- a/src/turmericlug/direct/content.py
+++ b/src/turmericlug/direct/content.py
@@ -1,4 +1,4 @@
-"""What of a request stays the same when it comes again."""
+"""Fingerprints that identify a request across attempts and instances."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
     names: header_names.HeaderNames,
 ) -> bytes:
     """
-    Return the same bytes for the same request of the same organisation, at every instance.
+    Return the fingerprint of a request; every instance computes the same one.
 
-    Identifiers and the time left are new with each attempt and do not count.
+    It covers the method, target, host, organisation and body. All other headers are left out: the
+    request identifier and the remaining time change with each attempt.
     """
-    told = (b"host", names.organisation)
-    named = (value for key, value in headers if key in told)
-    return fingerprint_module.of((method, target, *named, body))
+    identifying = (b"host", names.organisation)
+    values = (value for key, value in headers if key in identifying)
+    return fingerprint_module.of((method, target, *values, body))
--- a/src/turmericlug/direct/header_names.py
+++ b/src/turmericlug/direct/header_names.py
@@ -1,4 +1,4 @@
-"""What the headers between callers, instances and replicas are called in one deployment."""
+"""Names of the HTTP headers that a deployment's callers, instances and replicas exchange."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
     request_id: bytes
     """Identifies one attempt of a caller; replicas echo it."""
     time_left: bytes
-    """Milliseconds the sender goes on waiting."""
+    """Milliseconds until the sender stops waiting."""
     expected_instance: bytes
-    """The replica's instance; another one at the same address must not run the request."""
+    """Instance name of the intended replica; any other replica must reject the request."""
     not_run: bytes
-    """In a replica's answer: the request was not run."""
+    """Set in a replica's response if it did not run the request."""
     signature: bytes
-    """A replica's proof that it made this answer."""
+    """Proves that the replica itself produced the response."""
     part_signatures: bytes
-    """Signatures of the parts that an answer holds, separated by commas."""
+    """Comma-separated signatures of the parts that a merged response contains."""
     missing_parts: bytes
-    """How many shards an answer lacks."""
+    """Number of shards that a merged response lacks."""
     retry_after: bytes
-    """Seconds, with fractions, after which a refused caller may come back."""
+    """Seconds, with fractions, after which a refused caller may retry."""
     organisation: bytes = b""
-    """Tells the organisations of callers apart; empty where nothing does."""
+    """Identifies the caller's organisation; empty if the deployment has no such header."""
     load: bytes = b""
-    """In a replica's answer: its load; empty where replicas do not tell it."""
-    read_load: abc.Callable[[bytes], load_module.Load | None] = lambda told: None
-    """Reads that header; ``None`` where it is not of the published form."""
+    """Load that a replica reports in its response; empty if replicas do not report it."""
+    read_load: abc.Callable[[bytes], load_module.Load | None] = lambda value: None
+    """Parses the load header; returns ``None`` for a value that is not in the published format."""
--- a/src/turmericlug/direct/sender.py
+++ b/src/turmericlug/direct/sender.py
@@ -1,4 +1,4 @@
-"""What every send to a replica needs, in one place."""
+"""State that all requests to replicas share."""
 
 from __future__ import annotations
 
@@ -24,36 +24,36 @@
 
 @attrs.define
 class Sender:
-    """The replicas, and whatever else their sends share."""
+    """The known replicas, and everything else that sending requests to them requires."""
 
     replicas: replicas_module.Replicas
     names: header_names.HeaderNames
     counters: counters_module.Counters
     tasks: tasks_module.Tasks
     instance_count: abc.Callable[[], int]
-    """How many instances share the budget of extra sends."""
+    """Number of instances that share the budget for hedges and retries."""
     handover: handover_module.Handover | None = None
-    """Hands far parts to other instances; ``None``: every part is sent from here."""
+    """Hands parts for distant replicas over to other instances; ``None``: sends all itself."""
     rng: random.Random = attrs.field(factory=random.Random)
     is_shard: abc.Callable[[str], bool] = lambda service: False
     """Whether a service is a shard of a route."""
     loop_lag_ms: abc.Callable[[], float | None] = lambda: None
-    """How late a slow turn of the event loop is; ``None`` before that is known."""
+    """Delay of a slow event loop iteration; ``None`` if it is not known yet."""
     quarantine: quarantine_module.Quarantine = attrs.field(
         default=attrs.Factory(lambda self: _quarantine(self.counters), takes_self=True)
     )
-    """Keeps requests that end replicas from further replicas."""
+    """Stops requests that crash replicas from reaching further ones."""
 
-    def withheld(self, call: sending.Call, replica: replica_module.Replica) -> str:
-        """Return why a request must not be written to a replica now; empty when it may be."""
+    def withhold_reason(self, call: sending.Call, replica: replica_module.Replica) -> str:
+        """Return why a request must not be written to a replica now; empty if it may be."""
         if not self.quarantine.may_send(call):
             return sending.QUARANTINED
         if replica.entry.data_centre in self.replicas.evacuated:
             return replicas_module.EVACUATED
         return ""
 
-    def may_send_again(self, service: str, now_s: float) -> bool:
-        """Take one of the extra sends that this instance may make to a service, if one is left."""
+    def spend_retry_budget(self, service: str, now_s: float) -> bool:
+        """Spend one of this instance's hedges and retries for a service, if any is left."""
         if self.handover is not None:
             share = self.handover.peers.slack_share(self, service)
         else:
--- a/src/turmericlug/direct/sending.py
+++ b/src/turmericlug/direct/sending.py
@@ -1,4 +1,4 @@
-"""One send to one replica, and what its end says about whether the request ran."""
+"""One attempt at one replica, and whether its outcome shows that the request ran."""
 
 from __future__ import annotations
 
@@ -15,75 +15,78 @@
 from turmericlug.direct import routes
 from turmericlug.http1 import client
 
-_PROMISE_STATUSES = (408, 421, 429, 503)
+_NOT_RUN_STATUSES = (408, 421, 429, 503)
 _MISDIRECTED_STATUS = 421
 MISDIRECTED = "misdirected"
-"""Reason of a request that another replica got, which has the address by now."""
+"""Reason if the request reached another replica that has taken over the address."""
 NO_RESPONSE = "silent"
-"""Reason of a request that a replica got and did not answer in time."""
+"""Reason if a replica got the request and did not respond in time."""
 QUARANTINED = "ends_replicas"
-"""Reason of a request that is not sent on, since replicas ended under it."""
+"""Reason if the request is not forwarded because replicas crashed while they ran it."""
 
 
 @attrs.define(eq=False)
 class Call:
-    """A caller's request on its way through this instance."""
+    """A caller's request that this instance is handling."""
 
     request_id: bytes
     method: bytes
     target: bytes
     headers: list[tuple[bytes, bytes]]
-    """End-to-end headers, without those that a send adds."""
+    """End-to-end headers, without those that are added for each replica."""
     body: bytes
     route: routes.Route
     version: int
-    """Of the configuration that it is handled by from start to end."""
+    """Version of the configuration that applies to the request from start to end."""
     began_s: float
-    """When the caller began; its goal counts from there."""
+    """When the caller started the request; its goal counts from this time."""
     deadline_s: float
-    """The caller's deadline or the route's timeout, whichever is sooner; the loop's clock."""
+    """The caller's deadline or the route's timeout, whichever is sooner; event loop time."""
     sends: set[asyncio.Task[typing.Any]] = attrs.field(factory=set)
     way_back_s: float = 0.0
-    """What an answer takes to the caller."""
+    """Latency of a response to the caller."""
     answer_at_s: float | None = None
-    """When a query over shards answers with what it has."""
+    """When a query over shards answers with the parts it has."""
     sends_by_service: dict[str, list[replica_module.Send]] = attrs.field(factory=dict)
-    """The sends of each service, in order."""
+    """Attempts at each service, in the order of sending."""
     handed_over: dict[str, str] = attrs.field(factory=dict)
-    """The instance that was last asked to send to a shard, for each that one was."""
+    """The instance that each handed-over shard was last handed over to."""
     hedges: int = 0
     retries: int = 0
     fingerprint: bytes = b""
-    """The same for each attempt at the same request, at every instance."""
+    """Identical for every attempt at the same request, on every instance."""
     vouched: bool = False
-    """Whether it is known that a replica answered it."""
+    """Whether a replica is known to have answered the request."""
     on_trial: bool = False
-    """Whether it goes to one replica only, to find out whether that ends under it."""
+    """Whether it is sent to a single replica, to find out whether it crashes that replica."""
 
     @property
     def goal_at_s(self) -> float:
-        """Until when an answer is worth most to the caller."""
+        """The time by which a response has its full value for the caller."""
         return self.began_s + self.route.goal_ms / 1000
 
     def describe(self, service: str, now_s: float) -> str:
-        """Describe what was sent to a service, for the log."""
-        told = [send.describe(now_s) for send in self.sends_by_service.get(service, ())]
+        """Describe the attempts at a service, for the log."""
+        descriptions = [send.describe(now_s) for send in self.sends_by_service.get(service, ())]
         if service in self.handed_over:
-            told.insert(0, f"handed to {self.handed_over[service]}")
-        return ", ".join(told) or "not sent"
+            descriptions.insert(0, f"handed to {self.handed_over[service]}")
+        return ", ".join(descriptions) or "not sent"
 
     def may_have_run(self, service: str) -> bool:
-        """Whether a replica of a service may have run the request, or may still."""
+        """Whether a replica of a service may have run the request or may still run it."""
         if service in self.handed_over:
             return True
         return any(send.ran for send in self.sends_by_service.get(service, ()))
 
     def answered(self, stuck_after_s: float) -> None:
         """
-        Leave the sends under way a little time only: the caller has its answer.
+        Shorten the timeouts of pending attempts, as the caller has its response.
 
-        Those that end by themselves keep their connections usable. One that is silent for much
-        longer than a pause has a dead connection, which would swallow the next part as well.
+        The connection of an attempt that completes can be reused. An attempt that gets no response
+        for much longer than a replica's pause has a dead connection, on which the next part would
+        be lost as well.
+
+        :param stuck_after_s: age at which an attempt counts as stuck
         """
         for sends in self.sends_by_service.values():
             for send in sends:
@@ -91,19 +94,19 @@
 
     def drop_unwritten(self, service: str) -> None:
         """
-        Never write what has no connection to a service yet: nobody waits for it any more.
+        Drop the attempts at a service that still wait for a connection.
 
-        It would run for nobody, and perhaps on more replicas than are allowed. Its connection may
-        still open, and is kept.
+        Their result is no longer needed, and writing them could reach more replicas than the route
+        allows. A connection that opens later is kept in the pool.
         """
         for send in self.sends_by_service.get(service, ()):
             send.unwanted = send.written_s is None
 
     def abandon(self) -> None:
         """
-        Close the connections of all sends: nobody waits for them, replicas can drop the work.
+        Close the connections of all pending attempts, so that replicas can drop the work.
 
-        But not that of the send whose end is the reason: it would take its outcome along.
+        The attempt that calls this is left to finish: cancelling it would lose its outcome.
         """
         current = asyncio.current_task()
         for send in self.sends:
@@ -113,7 +116,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answered:
-    """A replica's own whole answer."""
+    """A complete response of the replica itself."""
 
     response: client.Response
     signature: bytes
@@ -122,16 +125,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class AnsweredInBatch:
-    """A replica's answer, merged with others by the instance that sent to it."""
+    """A replica's response, merged with others by the peer that sent the request."""
 
     signature: bytes
     records: bytes
-    """The greatest of all shards of the batch; one object for all of them."""
+    """The top records of all shards in the batch; every shard shares this object."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Failed:
-    """A replica's own answer that says it failed; the request ran."""
+    """An error response of the replica itself; the request ran."""
 
     response: client.Response
     replica: replica_module.Replica
@@ -143,33 +146,33 @@
 
     reason: str
     sent: bool
-    """Whether it reached the replica, which then refused it."""
+    """Whether it reached a replica, which then refused it."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Unknown:
-    """No usable answer; the request may have run."""
+    """No usable response; the request may have run."""
 
     reason: str
     connection_lost: bool = False
-    """Whether the replica's connection ended while it had the request."""
+    """Whether the connection was lost after the request was written."""
 
 
 ABANDONED = Unknown("abandoned")
-"""Its connection was closed from here: says nothing of the replica."""
+"""This instance closed the connection: no evidence about the replica."""
 UNWANTED = NotRun("unwanted", sent=False)
-"""The query was answered before the part had a connection."""
+"""The query was answered before the part got a connection."""
 
 Outcome = Answered | AnsweredInBatch | Failed | NotRun | Unknown
 
 
-def request_for(
+def build_request(
     call: Call,
     replica: replica_module.Replica,
     names: header_names_module.HeaderNames,
     left_ms: int,
 ) -> bytes:
-    """Write the request for one replica, with the time that is left and the instance it is for."""
+    """Encode the request for one replica, with the remaining time and the expected instance."""
     headers = [
         *call.headers,
         (names.time_left, b"%d" % left_ms),
@@ -185,11 +188,11 @@
     names: header_names_module.HeaderNames,
 ) -> Outcome:
     """
-    Tell what a response says.
+    Return the outcome that a response stands for.
 
-    A response that names another request belongs to that one: it was late or doubled, and what the
-    connection carries next can't be told apart either. Replicas name the request in every answer
-    but a refusal.
+    A response with another request's identifier belongs to that request: it was late or duplicated,
+    and further responses on the connection can't be attributed either. Replicas echo the identifier
+    in every response except a refusal.
     """
     echoed = response.header(names.request_id)
     if echoed is not None and echoed != call.request_id:
@@ -210,7 +213,7 @@
 
 
 def reason(outcome: Outcome) -> str:
-    """Return why there is no answer, as a short text; empty for an answer."""
+    """Return why there is no successful response, as a short text; empty if there is one."""
     match outcome:
         case Answered() | AnsweredInBatch():
             return ""
@@ -221,12 +224,12 @@
 
 
 def timed_out(outcome: Outcome) -> bool:
-    """Whether there is no answer because its time was over."""
+    """Whether there is no response because the time ran out."""
     return isinstance(outcome, Unknown) and outcome.reason in ("deadline", NO_RESPONSE)
 
 
 def was_withheld(outcome: Outcome) -> bool:
-    """Whether a send was not written by this instance's own decision: says nothing of a replica."""
+    """Whether this instance decided not to write the request: no evidence about a replica."""
     return isinstance(outcome, NotRun) and outcome.reason in (
         UNWANTED.reason,
         QUARANTINED,
@@ -235,11 +238,11 @@
 
 
 def guarantees_not_run(status: int) -> bool:
-    """Whether callers take a status for the promise that their request did not run."""
-    return status in _PROMISE_STATUSES
+    """Whether callers take a status as a guarantee that their request did not run."""
+    return status in _NOT_RUN_STATUSES
 
 
-def _timed_out(progress: replica_module.Send) -> Outcome:
+def _timeout_outcome(progress: replica_module.Send) -> Outcome:
     if progress.written_s is None:
         return NotRun("no_connection_in_time", sent=False)
     return Unknown(NO_RESPONSE)
@@ -250,13 +253,14 @@
     replica: replica_module.Replica,
     names: header_names_module.HeaderNames,
     progress: replica_module.Send,
-    withheld: abc.Callable[[], str],
+    get_withhold_reason: abc.Callable[[], str],
 ) -> Outcome:
     """
-    Send a request to a replica and wait for what it says.
+    Send a request to a replica and wait for its response.
 
-    :param progress: told when the request is written; may bring its limit forward
-    :param withheld: asked just before the request is written; tells why it must not be, if so
+    :param progress: records when the request is written; can shorten the timeout
+    :param get_withhold_reason: called just before the request is written; returns why it must not
+        be, or an empty text
     """
     loop = asyncio.get_running_loop()
     try:
@@ -265,14 +269,14 @@
             async with replica.pool.connection(call.route.priority, fresh) as connection:
                 if progress.unwanted:
                     return UNWANTED
-                if held := withheld():
-                    return NotRun(held, sent=False)
+                if withhold_reason := get_withhold_reason():
+                    return NotRun(withhold_reason, sent=False)
                 now_s = loop.time()
                 left_ms = int((call.deadline_s - now_s) * 1000)
                 if left_ms < 1:
                     return NotRun("no_time_left", sent=False)
                 progress.written_s = now_s
-                response = await connection.exchange(request_for(call, replica, names, left_ms))
+                response = await connection.exchange(build_request(call, replica, names, left_ms))
                 outcome = classify(response, call, replica, names)
                 if isinstance(outcome, Unknown):
                     connection.close()
@@ -282,4 +286,4 @@
     except client.ExchangeError as error:
         return Unknown(str(error), isinstance(error, client.ConnectionLostError))
     except TimeoutError:
-        return _timed_out(progress)
+        return _timeout_outcome(progress)
--- a/src/turmericlug/direct/tracking.py
+++ b/src/turmericlug/direct/tracking.py
@@ -1,4 +1,4 @@
-"""One send from its begin to what this instance learns from its end."""
+"""Run one attempt and record its outcome."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from turmericlug.telemetry import decisions
 
 
-async def tracked(
+async def send_and_record(
     sender: sender_module.Sender,
     call: sending.Call,
     replica: replica_module.Replica,
     send: replica_module.Send,
 ) -> sending.Outcome:
-    """Send, and let the replica's standing learn from the outcome."""
+    """Send a request to a replica and update the replica's statistics with the outcome."""
     try:
         outcome = await sending.send(
-            call, replica, sender.names, send, lambda: sender.withheld(call, replica)
+            call, replica, sender.names, send, lambda: sender.withhold_reason(call, replica)
         )
         send.ran = not isinstance(outcome, sending.NotRun)
         if sending.was_withheld(outcome):
@@ -29,16 +29,16 @@
         return sending.ABANDONED
     finally:
         send.ended_s = asyncio.get_running_loop().time()
-    _learn(sender, call, replica, outcome, send.began_s)
+    _record_outcome(sender, call, replica, outcome, send.began_s)
     try:
         await sender.quarantine.settle(call, replica, outcome)
     except asyncio.CancelledError:
-        # The send has ended; whoever waits for it is told so, or waits for its deadline.
+        # The attempt has ended. Without its outcome, its awaiter would wait for the deadline.
         return outcome
     return outcome
 
 
-def _learn(
+def _record_outcome(
     sender: sender_module.Sender,
     call: sending.Call,
     replica: replica_module.Replica,
--- a/tests/direct/test_attempts.py
+++ b/tests/direct/test_attempts.py
@@ -1,4 +1,4 @@
-"""First send, hedge and repeat against scripted replicas."""
+"""First attempt, hedges and retries against scripted replicas."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 GOOD = scripted.response(body=b"good")
 FAILED = scripted.response(500, body=b"failed")
-FOREIGN = scripted.response(headers=[(b"request-id", b"other")])
-FOREIGN = client.Response(200, b"", ((b"request-id", b"other"), (b"signed", b"x")), b"", True)
+OTHER_REQUEST = scripted.response(headers=[(b"request-id", b"other")])
+OTHER_REQUEST = client.Response(200, b"", ((b"request-id", b"other"), (b"signed", b"x")), b"", True)
 RESET = client.ExchangeError("connection reset")
 REFUSED = client.ConnectError("refused")
-MOVED = client.Response(421, b"", (), b"", True)
+MISDIRECTED = client.Response(421, b"", (), b"", True)
 
 
-def obtain(scripts, slack=100.0, **changes):
-    """Return the outcome and how many requests reached each replica."""
+def run_attempts(scripts, slack=100.0, **changes):
+    """Return the outcome and the number of requests that reached each replica."""
 
     async def main():
         sender = scripted.make_sender({"s": scripts}, slack)
@@ -35,7 +35,7 @@
     return outcome, [len(script.requests) for script in scripts.values()]
 
 
-def two(first, second):
+def two_replicas(first, second):
     return {"a": scripted.Scripted(*first), "b": scripted.Scripted(*second)}
 
 
@@ -45,28 +45,28 @@
         ([GOOD], True, sending.Answered, [1, 0]),
         ([RESET], True, sending.Answered, [1, 1]),
         ([FAILED], True, sending.Answered, [1, 1]),
-        ([FOREIGN], True, sending.Answered, [1, 1]),
+        ([OTHER_REQUEST], True, sending.Answered, [1, 1]),
         ([scripted.SHED], True, sending.Answered, [1, 1]),
-        ([MOVED], True, sending.Answered, [1, 1]),
+        ([MISDIRECTED], True, sending.Answered, [1, 1]),
         ([REFUSED], True, sending.Answered, [0, 1]),
         ([5.0, GOOD], True, sending.Answered, [1, 1]),
         ([GOOD], False, sending.Answered, [1, 0]),
         ([scripted.SHED], False, sending.Answered, [1, 1]),
-        ([MOVED], False, sending.Answered, [1, 1]),
+        ([MISDIRECTED], False, sending.Answered, [1, 1]),
         ([REFUSED], False, sending.Answered, [0, 1]),
         ([RESET], False, sending.Unknown, [1, 0]),
-        ([FOREIGN], False, sending.Unknown, [1, 0]),
+        ([OTHER_REQUEST], False, sending.Unknown, [1, 0]),
         ([FAILED], False, sending.Failed, [1, 0]),
         ([0.2, GOOD], False, sending.Answered, [1, 0]),
     ],
 )
-def test_what_is_sent_again(first, idempotent, expected, sent):
+def test_which_requests_are_retried(first, idempotent, expected, sent):
     """
-    A voucher is requested once and a replica loses its answer: sent again, it is issued twice.
-    So a request that must not run twice goes to a second replica only when the first one certainly
-    did not run it; any other goes on to the next replica, early when the first one is late.
+    Guards against running a non-idempotent request twice: a replica loses its response to a request
+    for a voucher, and a retry issues a second voucher. Such a request is retried only if the first
+    replica certainly did not run it. An idempotent request is retried, and hedged if it is late.
     """
-    outcome, requests = obtain(two(first, [GOOD]), idempotent=idempotent)
+    outcome, requests = run_attempts(two_replicas(first, [GOOD]), idempotent=idempotent)
     assert isinstance(outcome, expected)
     assert requests == sent
 
@@ -76,11 +76,11 @@
     [
         ([scripted.SHED], [scripted.SHED], "shed"),
         ([REFUSED], [REFUSED], "connect: refused"),
-        ([MOVED], [REFUSED], "connect: refused"),
+        ([MISDIRECTED], [REFUSED], "connect: refused"),
     ],
 )
-def test_not_run_is_said_only_when_true(first, second, reason):
-    outcome, _ = obtain(two(first, second))
+def test_not_run_is_reported_only_when_certain(first, second, reason):
+    outcome, _ = run_attempts(two_replicas(first, second))
     assert outcome == sending.NotRun(reason, sent=outcome.sent)
 
 
@@ -88,12 +88,12 @@
     ("first", "second"),
     [([RESET], [scripted.SHED]), ([5.0], [scripted.SHED]), ([RESET], [REFUSED])],
 )
-def test_after_a_run_that_may_have_begun_nothing_is_promised(first, second):
+def test_a_request_that_may_have_run_is_never_reported_as_not_run(first, second):
     """
-    The first replica loses its answer, the second one refuses. "Not run" would be true of the
-    second send only; a caller that believes it pays twice.
+    Guards against a false "not run": the first replica loses its response and the second one
+    refuses. Only the second attempt did not run, and a caller that starts anew would pay twice.
     """
-    outcome, _ = obtain(two(first, second), deadline_ms=300.0)
+    outcome, _ = run_attempts(two_replicas(first, second), deadline_ms=300.0)
     assert isinstance(outcome, sending.Unknown)
 
 
@@ -107,46 +107,46 @@
         ([[SHED, GOOD], [SHED]], 2, sending.Answered, [2, 1]),
         ([[SHED], [SHED, SHED, GOOD]], 2, sending.Answered, [3, 3]),
         ([[SHED], [SHED], [GOOD]], 2, sending.NotRun, None),
-        ([[SHED, SHED, GOOD], [MOVED]], 2, sending.Answered, [3, 1]),
+        ([[SHED, SHED, GOOD], [MISDIRECTED]], 2, sending.Answered, [3, 1]),
         ([[SHED, RESET], [SHED]], 1, sending.Unknown, [2, 0]),
     ],
-    ids=["once", "twice", "no third replica", "one is gone", "may have run in the end"],
+    ids=["once", "twice", "no third replica", "one misdirected", "may have run at last"],
 )
-def test_replicas_that_all_shed_are_tried_again(scripts, allowed, expected, sent, idempotent):
+def test_retries_after_every_replica_shed(scripts, allowed, expected, sent, idempotent):
     """
-    Each replica of a shard sheds six of ten requests for some seconds. A query is refused by both
-    in one part of twenty and fails after 6 ms of the 800 that its caller gives it; the caller comes
-    back once, with twenty new parts, and fails again.
+    Guards against failing early under short overload. Each replica of a shard sheds six of ten
+    requests for some seconds. Both shed one part of twenty, and the query failed after 6 ms of the
+    caller's 800 ms; the caller retried once, with twenty new parts, and failed again.
     """
     scripts = {
         name: scripted.Scripted(*script) for name, script in zip("abc", scripts, strict=False)
     }
-    outcome, requests = obtain(scripts, max_attempts=allowed, idempotent=idempotent)
+    outcome, requests = run_attempts(scripts, max_attempts=allowed, idempotent=idempotent)
     assert isinstance(outcome, expected)
     assert sent is None or requests == sent
     assert sum(count > 0 for count in requests) <= allowed
 
 
-def test_what_is_shed_again_and_again_is_refused():
-    outcome, requests = obtain(two([SHED], [SHED]))
+def test_a_request_that_is_always_shed_is_refused():
+    outcome, requests = run_attempts(two_replicas([SHED], [SHED]))
     assert outcome == sending.NotRun("shed", sent=True)
-    assert sum(requests) == 2 * (1 + attempts.MOST_PAUSES)
+    assert sum(requests) == 2 * (1 + attempts.MAX_DELAYED_RETRIES)
 
 
-def test_tries_again_stay_within_the_budget():
-    outcome, requests = obtain(two([SHED], [SHED]), slack=2.0 / 0.8)
+def test_retries_stay_within_the_budget():
+    outcome, requests = run_attempts(two_replicas([SHED], [SHED]), slack=2.0 / 0.8)
     assert outcome == sending.NotRun("shed", sent=True)
     assert sum(requests) == 3
 
 
 def test_no_replica():
-    outcome, _ = obtain({})
+    outcome, _ = run_attempts({})
     assert outcome == sending.NotRun("no_replica", sent=False)
 
 
 def test_no_more_replicas_than_the_route_allows():
     scripts = {name: scripted.Scripted(RESET) for name in "abcd"}
-    _, requests = obtain(scripts, max_attempts=3)
+    _, requests = run_attempts(scripts, max_attempts=3)
     assert sum(map(bool, requests)) == 3
     assert sum(requests) == 3 + attempts.MAX_SAME_REPLICA_RETRIES
 
@@ -166,18 +166,19 @@
         "resets",
         "resets twice",
         "fails",
-        "resets for ever",
-        "may run once",
+        "always resets",
+        "not idempotent",
         "one replica only",
         "waits for the second",
     ],
 )
-def test_a_part_goes_back_to_a_replica_that_failed_it(first, second, changes, requests):
+def test_retries_a_failed_replica_when_no_other_is_allowed(first, second, changes, requests):
     """
-    Half of all replicas lose part of their answers. A query over ninety shards lacked those of
-    which both replicas did so, and failed for want of coverage with most of its time left.
+    Guards against giving up on a shard after one failure of each replica. Half of all replicas lost
+    some of their responses; a query over ninety shards lacked the shards for which both replicas
+    did, and failed for missing shards with most of its time left.
     """
-    outcome, sent = obtain(two(first, second), **changes)
+    outcome, sent = run_attempts(two_replicas(first, second), **changes)
     assert sent == requests
     assert isinstance(outcome, sending.Answered) == (
         GOOD in [*first, *second] and sum(requests) > 2
@@ -185,15 +186,15 @@
 
 
 @pytest.mark.parametrize("first", [[RESET], [5.0]])
-def test_a_spent_budget_sends_nothing_again(first):
-    outcome, requests = obtain(two(first, [GOOD]), slack=0.0, deadline_ms=250.0)
+def test_an_exhausted_budget_prevents_retries_and_hedges(first):
+    outcome, requests = run_attempts(two_replicas(first, [GOOD]), slack=0.0, deadline_ms=250.0)
     assert isinstance(outcome, sending.Unknown)
     assert requests == [1, 0]
 
 
-def test_the_time_handed_on_is_what_is_left():
-    scripts = two([RESET], [GOOD])
-    obtain(scripts, deadline_ms=500.0)
+def test_the_time_left_header_holds_the_remaining_time():
+    scripts = two_replicas([RESET], [GOOD])
+    run_attempts(scripts, deadline_ms=500.0)
     for script in scripts.values():
         (request,) = script.requests
         left_ms = int(request.split(b"time-left: ")[1].split(b"\r")[0])
@@ -201,12 +202,12 @@
     assert b"expected: a" in scripts["a"].requests[0]
 
 
-def test_an_abandoned_call_ends_its_sends():
+def test_an_abandoned_call_cancels_its_attempts():
     """
-    The caller leaves while a late part has two sends under way. Both connections close, so that
-    neither replica works on for nobody.
+    Guards against work that is no longer needed: the caller disconnects while a late part has two
+    attempts in flight. Both connections close, so that the replicas can stop.
     """
-    scripts = two([30.0], [30.0])
+    scripts = two_replicas([30.0], [30.0])
 
     async def main():
         sender = scripted.make_sender({"s": scripts})
@@ -223,14 +224,14 @@
     assert [script.cancelled for script in scripts.values()] == [1, 1]
 
 
-def test_no_hedge_where_every_replica_is_late():
+def test_no_hedge_when_every_replica_is_late():
     """
-    After an outage all callers return at once, and every replica is late with many sends.
-    A second send of each part then doubles the queue that makes them late.
+    Guards against hedging into overload. After an outage all callers return at once and every
+    replica is late with many requests; hedging each part doubles the queues that cause the delay.
     """
 
     async def main():
-        scripts = two([0.3, GOOD], [0.3, GOOD])
+        scripts = two_replicas([0.3, GOOD], [0.3, GOOD])
         sender = scripted.make_sender({"s": scripts})
         loop = asyncio.get_running_loop()
         for replica in sender.replicas.all():
@@ -244,10 +245,10 @@
     asyncio.run(main())
 
 
-def test_a_late_send_is_not_hedged_beyond_the_routes_attempts():
+def test_hedges_count_towards_the_attempts_of_the_route():
     """
-    The first replica is silent and the second one fails. With two attempts allowed, a hedge for the
-    first one would reach a third replica.
+    The first replica does not respond and the hedge at the second one fails. With two attempts
+    allowed, a further hedge would reach a third replica.
     """
     scripts = {
         "a": scripted.Scripted(30.0),
@@ -255,7 +256,7 @@
         "c": scripted.Scripted(GOOD),
         "d": scripted.Scripted(GOOD),
     }
-    _, requests = obtain(scripts, max_attempts=2, deadline_ms=400.0)
+    _, requests = run_attempts(scripts, max_attempts=2, deadline_ms=400.0)
     assert requests == [1, 1, 0, 0]
 
 
@@ -266,15 +267,16 @@
         pytest.param(replica_module.MISDIRECTED_S + 1, 2, id="long after"),
     ],
 )
-def test_an_address_that_is_anothers_gets_nothing_more(age_s, sent):
+def test_a_misdirected_replica_gets_no_more_requests(age_s, sent):
     """
-    A replica has ended while the store is away, and a replica of another service has its address.
-    Nobody tells, so that every instance goes on sending there: each request is turned away, uses up
-    an attempt, and is one more arrival at a service that it was not meant for.
+    Guards against repeated misdirected requests. A replica ends while the store is unavailable, and
+    a replica of another service takes over its address. No instance learns of this from the store,
+    so all keep sending there: each request is rejected, uses up an attempt and adds load to a
+    service that it is not meant for.
     """
 
     async def main():
-        ended = scripted.Scripted(MOVED)
+        ended = scripted.Scripted(MISDIRECTED)
         sender = scripted.make_sender({"s": {"a": ended}})
         first = await attempts.get_answer(sender, scripted.make_call(), "s")
         (replica,) = sender.replicas.all()
--- a/tests/direct/test_content.py
+++ b/tests/direct/test_content.py
@@ -1,4 +1,4 @@
-"""Which requests count as the same."""
+"""Fingerprints: which requests count as identical."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         ({"target": b"/a/b?c=1h", "headers": [(b"host", b""), (b"key", b"k")]}, False),
     ],
 )
-def test_the_same_request_of_the_same_organisation(changes, same):
-    """Identifiers are new with each attempt; another organisation's request is another one."""
+def test_fingerprint_is_that_of_the_request_and_its_organisation(changes, same):
+    """Request identifiers change with each attempt; the organisation is part of the identity."""
     assert (of(**changes) == of()) is same
     assert len(of(**changes)) == fingerprint.LENGTH_BYTES
--- a/tests/direct/test_timing.py
+++ b/tests/direct/test_timing.py
@@ -1,4 +1,4 @@
-"""When a part counts as late, and when a query answers without it."""
+"""When a part is hedged, and when a query answers without it."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 @pytest.mark.parametrize(
     ("slow_ms", "goal_ms", "expected_ms"),
     [(None, 200.0, 72.0), (50.0, 300.0, 55.0), (1.0, 300.0, 8.0), (400.0, 300.0, 108.0)],
-    ids=["nothing known", "late for a part", "not before a turn", "while it still helps"],
+    ids=["no data", "late for a part", "minimum", "maximum"],
 )
 def test_hedge_age(slow_ms, goal_ms, expected_ms):
     assert timing.hedge_after_ms(slow_ms, goal_ms) == pytest.approx(expected_ms)
 
 
 @pytest.mark.parametrize(
-    ("goal_ms", "way_back_ms", "shards", "lag_ms", "expected_ms"),
+    ("goal_ms", "response_latency_ms", "shards", "lag_ms", "expected_ms"),
     [
         (300.0, 0.0, 20, 0.0, 282.0),
         (300.0, 12.0, 20, 0.0, 281.4),
@@ -28,26 +28,31 @@
         (20.0, 0.0, 20, 5.0, 10.0),
     ],
 )
-def test_answer_age_leaves_time_for_the_way_back(goal_ms, way_back_ms, shards, lag_ms, expected_ms):
+def test_answer_age_leaves_time_for_the_response(
+    goal_ms, response_latency_ms, shards, lag_ms, expected_ms
+):
     """
-    A query of 90 shards waits for its stragglers until 15 ms before the goal. Its answer is three
-    packets from a machine of half a core, and one in nine reached the caller just too late. Where
-    the event loop turns at once, keeping as much leaves out shards that would have come.
+    Guards against answers that just miss the goal. A query over 90 shards that waited until 15 ms
+    before the goal sent a response of three packets from a machine with half a core, and one in
+    nine reached the caller too late. With a responsive event loop, the same margin would leave out
+    shards that still arrive in time.
     """
-    found_ms = timing.answer_after_ms(goal_ms, way_back_ms, shards, lag_ms)
+    found_ms = timing.answer_after_ms(goal_ms, response_latency_ms, shards, lag_ms)
     assert found_ms == pytest.approx(expected_ms)
 
 
 @pytest.mark.parametrize(
-    ("late_ms", "left_ms", "second_ms", "expected_ms"),
+    ("late_after_ms", "left_ms", "second_attempt_ms", "expected_ms"),
     [(20.0, 277.0, 67.0, 143.0), (20.0, 120.0, 39.0, 42.0), (20.0, 50.0, 39.0, 20.0)],
-    ids=["ample", "short", "none to spare"],
+    ids=["ample time", "little time", "no time to defer"],
 )
-def test_a_late_part_is_hedged_as_late_as_the_second_send_allows(
-    late_ms, left_ms, second_ms, expected_ms
+def test_a_hedge_is_deferred_while_a_second_attempt_still_fits(
+    late_after_ms, left_ms, second_attempt_ms, expected_ms
 ):
     """
-    Parts that are late by a little come by themselves. Hedged at once, one send in eight was made
-    twice, most of them between regions, for answers that were on their way.
+    Guards against needless hedges. Slightly late parts are answered without one; hedging them at
+    once duplicated one attempt in eight, mostly between regions.
     """
-    assert timing.hedge_by_ms(late_ms, left_ms, second_ms) == pytest.approx(expected_ms)
+    assert timing.deferred_hedge_ms(late_after_ms, left_ms, second_attempt_ms) == pytest.approx(
+        expected_ms
+    )
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -1,4 +1,4 @@
-"""Scripted replicas behind the real sending code."""
+"""Scripted replicas for tests of the real sending code."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Connection:
-    """Plays one step: a response, an error, or seconds to wait before the next step."""
+    """Plays the replica's steps: a response, an error, or seconds to wait before the next step."""
 
     def __init__(self, replica):
         self.replica = replica
@@ -73,7 +73,7 @@
 
 
 class Scripted:
-    """A replica that plays its steps in turn, the last one for ever."""
+    """A replica that plays its steps in order and repeats the last one."""
 
     def __init__(self, *script):
         self.script = list(script)
@@ -87,7 +87,7 @@
 
 
 class Ending(Scripted):
-    """A replica that ends when it runs a request, and refuses connections from then on."""
+    """A replica that crashes when it runs a request and then refuses connections."""
 
     def __init__(self, *script, takes_connections=False):
         super().__init__(*(script or [client.ConnectionLostError("connection closed")]))
@@ -100,7 +100,7 @@
 
 
 class SlowToConnect(Scripted):
-    """A replica whose connections take their time to open."""
+    """A replica whose connections take 0.15 s to open."""
 
     async def connect(self):
         await asyncio.sleep(0.15)
@@ -123,7 +123,7 @@
 
 
 def make_sender(scripts, slack=100.0):
-    """Make a sender over scripted replicas by service and instance."""
+    """Create a sender with scripted replicas, given by service and instance."""
     by_instance = {name: script for each in scripts.values() for name, script in each.items()}
     loop = asyncio.get_running_loop()
 
