--- a/src/turmericlug/direct/attempts.py
+++ b/src/turmericlug/direct/attempts.py
@@ -104,9 +104,9 @@
     """
     if not sender.quarantine.may_send(call):
         return (
-            sending.Unknown(sending.QUARANTINED)
+            sending.Unknown(sending.CRASHES_REPLICAS)
             if is_retry
-            else sending.NotRun(sending.QUARANTINED, sent=False)
+            else sending.NotRun(sending.CRASHES_REPLICAS, sent=False)
         )
     loop = asyncio.get_running_loop()
     state = _AttemptState(sender, call, service)
--- a/src/turmericlug/direct/sender.py
+++ b/src/turmericlug/direct/sender.py
@@ -47,7 +47,7 @@
     def withhold_reason(self, call: sending.Call, replica: replica_module.Replica) -> str:
         """Return why a request must not be written to a replica now; empty if it may be."""
         if not self.quarantine.may_send(call):
-            return sending.QUARANTINED
+            return sending.CRASHES_REPLICAS
         if replica.entry.data_centre in self.replicas.evacuated:
             return replicas_module.EVACUATED
         return ""
--- a/src/turmericlug/direct/sending.py
+++ b/src/turmericlug/direct/sending.py
@@ -21,7 +21,7 @@
 """Reason if the request reached another replica that has taken over the address."""
 NO_RESPONSE = "silent"
 """Reason if a replica got the request and did not respond in time."""
-QUARANTINED = "ends_replicas"
+CRASHES_REPLICAS = "ends_replicas"
 """Reason if the request is not forwarded because replicas crashed while they ran it."""
 
 
@@ -232,7 +232,7 @@
     """Whether this instance decided not to write the request: no evidence about a replica."""
     return isinstance(outcome, NotRun) and outcome.reason in (
         UNWANTED.reason,
-        QUARANTINED,
+        CRASHES_REPLICAS,
         replicas_module.EVACUATED,
     )
 
--- a/src/turmericlug/direct/trial.py
+++ b/src/turmericlug/direct/trial.py
@@ -39,7 +39,7 @@
     shards = [each for each in call.route.shards if sender.replicas.of(each)]
     if not shards:
         sender.quarantine.trial_not_run(call)
-        return answering.refusal(sender, sending.QUARANTINED)
+        return answering.refusal(sender, sending.CRASHES_REPLICAS)
     route = attrs.evolve(call.route, max_attempts=1)
     tried = attrs.evolve(call, route=route, on_trial=True, sends_by_service={}, sends=set())
     shard = sender.rng.choice(shards)
@@ -94,7 +94,7 @@
 def _ending(sender: sender_module.Sender, call: sending.Call) -> answering.Ending | None:
     """Return how a request ends that is not tried now; ``None`` where it may be sent as usual."""
     if sender.quarantine.is_suspected(call):
-        return answering.refusal(sender, sending.QUARANTINED)
+        return answering.refusal(sender, sending.CRASHES_REPLICAS)
     return _refused(sender, call)
 
 
@@ -107,7 +107,7 @@
             return None
         case sending.NotRun():
             sender.quarantine.trial_not_run(call)
-            return _refused(sender, call) or answering.refusal(sender, sending.QUARANTINED)
+            return _refused(sender, call) or answering.refusal(sender, sending.CRASHES_REPLICAS)
     return _refused(sender, call) or answering.failure(502, sending.reason(outcome))
 
 
@@ -116,5 +116,5 @@
     if sender.quarantine.verdict(call.fingerprint) is not poison.Verdict.QUARANTINED:
         return None
     sender.counters.add("poison.refused")
-    ending = answering.failure(HELD_STATUS, sending.QUARANTINED)
+    ending = answering.failure(HELD_STATUS, sending.CRASHES_REPLICAS)
     return attrs.evolve(ending, answer=attrs.evolve(ending.answer, body=HELD_BODY))
