--- a/src/turmericlug/direct/content.py
+++ b/src/turmericlug/direct/content.py
@@ -1,8 +1,8 @@
-"""What of a request stays the same when it comes again."""
+"""Fingerprints that identify a request across attempts and instances."""
 
 from __future__ import annotations
 
-from turmericlug.direct import dialect
+from turmericlug.direct import header_names
 from turmericlug.policy import fingerprint as fingerprint_module
 
 
@@ -11,13 +11,14 @@
     target: bytes,
     headers: list[tuple[bytes, bytes]],
     body: bytes,
-    names: dialect.Dialect,
+    names: header_names.HeaderNames,
 ) -> bytes:
     """
-    Return the same bytes for the same request of the same organisation, at every instance.
+    Return the fingerprint of a request; every instance computes the same one.
 
-    Identifiers and the time left are new with each attempt and do not count.
+    It covers the method, target, host, organisation and body. All other headers are left out: the
+    request identifier and the remaining time change with each attempt.
     """
-    told = (b"host", names.organisation)
-    named = (value for key, value in headers if key in told)
-    return fingerprint_module.of((method, target, *named, body))
+    identifying = (b"host", names.organisation)
+    values = (value for key, value in headers if key in identifying)
+    return fingerprint_module.of((method, target, *values, body))
