--- a/src/turmericlug/direct/answering.py
+++ b/src/turmericlug/direct/answering.py
@@ -23,15 +23,15 @@
 COME_BACK_LEAST_S = 0.05
 COME_BACK_MOST_S = 0.4
 """Callers refused together come back spread over some service times, not all at once."""
-STORM_LEAST_S = 0.25
-STORM_MOST_S = 2.0
+OVERLOAD_RETRY_AFTER_MIN_S = 0.25
+OVERLOAD_RETRY_AFTER_MAX_S = 2.0
 """While an instance starts: what an outage of two seconds has left waiting is worked off within
 about as long."""
 _DATE = b"date"
 
 
 @attrs.frozen
-class Ending:
+class Result:
     """The answer to a request and why it is that one."""
 
     answer: messages.Answer
@@ -45,33 +45,33 @@
     return rng.uniform(COME_BACK_LEAST_S, COME_BACK_MOST_S)
 
 
-def storm_come_back_s(rng: random.Random) -> float:
+def overload_retry_after_s(rng: random.Random) -> float:
     """Draw when a caller should come back that was refused because too many came at once."""
-    return rng.uniform(STORM_LEAST_S, STORM_MOST_S)
+    return rng.uniform(OVERLOAD_RETRY_AFTER_MIN_S, OVERLOAD_RETRY_AFTER_MAX_S)
 
 
 def refusal(
     sender: sender_module.Sender,
     reason: str,
     draw_s: abc.Callable[[random.Random], float] = come_back_s,
-) -> Ending:
+) -> Result:
     """Refuse: nothing ran and nothing will; the caller learns when to come back."""
     seconds = b"%.3f" % draw_s(sender.rng)
     answer = messages.Answer(503, ((sender.names.retry_after, seconds),), reason.encode())
-    return Ending(answer, "refused", reason)
+    return Result(answer, "refused", reason)
 
 
-def failure(status: int, reason: str) -> Ending:
+def failure(status: int, reason: str) -> Result:
     """Fail: the request may have run, nothing is promised."""
-    return Ending(messages.Answer(status, (), reason.encode()), "failed", reason)
+    return Result(messages.Answer(status, (), reason.encode()), "failed", reason)
 
 
-async def single(sender: sender_module.Sender, call: sending.Call, service: str) -> Ending:
+async def request_service(sender: sender_module.Sender, call: sending.Call, service: str) -> Result:
     """Answer a request that one replica of one service answers."""
     outcome = await obtaining.obtain(sender, call, service)
     match outcome:
         case sending.Answered():
-            return Ending(_passed_on(outcome.response, outcome.response.status), "answered")
+            return Result(_passed_on(outcome.response, outcome.response.status), "answered")
         case sending.Failed():
             return _failed_by_replica(outcome)
         case sending.NotRun():
@@ -80,7 +80,7 @@
             return failure(504 if sending.is_late(outcome) else 502, outcome.reason)
 
 
-def _failed_by_replica(outcome: sending.Failed) -> Ending:
+def _failed_by_replica(outcome: sending.Failed) -> Result:
     """
     Pass a replica's own failure on unchanged.
 
@@ -90,7 +90,7 @@
     status = outcome.response.status
     if sending.promises_not_run(status):
         return failure(502, f"replica_status_{status}")
-    return Ending(_passed_on(outcome.response, status), "failed", f"replica_status_{status}")
+    return Result(_passed_on(outcome.response, status), "failed", f"replica_status_{status}")
 
 
 def _passed_on(response: client.Response, status: int) -> messages.Answer:
@@ -100,7 +100,7 @@
     return messages.Answer(status, headers, response.body)
 
 
-async def all_shards(sender: sender_module.Sender, call: sending.Call) -> Ending:
+async def query_shards(sender: sender_module.Sender, call: sending.Call) -> Result:
     """
     Answer a query with the greatest records of all shards.
 
@@ -252,7 +252,7 @@
     return outcome if isinstance(outcome, Good) else None
 
 
-def conclude(sender: sender_module.Sender, call: sending.Call, parts: Parts) -> Ending:
+def conclude(sender: sender_module.Sender, call: sending.Call, parts: Parts) -> Result:
     """Answer with the parts that are in, or refuse or fail where they are too few."""
     answers = {shard: _answered(part) for shard, part in parts.items()}
     present = [answer for answer in answers.values() if answer is not None]
@@ -265,13 +265,13 @@
         (sender.names.request_id, call.request_id),
         (b"content-type", b"application/octet-stream"),
     ]
-    body = merge.greatest(_bodies(present), call.route.top_records)
+    body = merge.top_records(_bodies(present), call.route.top_records)
     answer = messages.Answer(200, tuple(headers), body)
     if not missing:
-        return Ending(answer, "answered")
+        return Result(answer, "answered")
     sender.counters.add("direct.missing_parts", len(missing))
     why = _told(call, parts, missing, asyncio.get_running_loop().time())
-    return Ending(answer, "partial", why)
+    return Result(answer, "partial", why)
 
 
 def _bodies(answers: list[Good]) -> list[bytes]:
@@ -298,7 +298,7 @@
     return sending.reason(part.result())
 
 
-def _too_few(sender: sender_module.Sender, call: sending.Call, parts: Parts) -> Ending:
+def _too_few(sender: sender_module.Sender, call: sending.Call, parts: Parts) -> Result:
     """
     Refuse when no part can have run, else fail.
 
--- a/src/turmericlug/direct/handover.py
+++ b/src/turmericlug/direct/handover.py
@@ -25,7 +25,7 @@
 from turmericlug.telemetry import decisions
 
 PATH = b"/parts"
-REFUSED = 503
+REFUSED_STATUS = 503
 """The peer ran nothing of a batch: it knows too few of the replicas, or it had stood still and
 could not tell how old the batch was."""
 ALIVE_FACTOR = 1.5
@@ -227,7 +227,7 @@
                 request = client.request_bytes(b"POST", PATH, [(b"host", b"instance")], content)
                 handed.ran_nothing = False
                 response = await connection.exchange(request, alive, came_back)
-        handed.ran_nothing = response.status == REFUSED
+        handed.ran_nothing = response.status == REFUSED_STATUS
         if response.status != 200:
             raise handover_codec.MessageError(f"status {response.status}")
         if handed.left:
--- a/src/turmericlug/direct/merge.py
+++ b/src/turmericlug/direct/merge.py
@@ -9,7 +9,7 @@
 """Length of one record; a shorter remainder of a part is no record."""
 
 
-def greatest(bodies: abc.Iterable[bytes], count: int) -> bytes:
+def top_records(bodies: abc.Iterable[bytes], count: int) -> bytes:
     """
     Return the greatest records of all parts, greatest first; equal records all count.
 
--- a/src/turmericlug/direct/trial.py
+++ b/src/turmericlug/direct/trial.py
@@ -28,7 +28,7 @@
 )
 
 
-async def before(sender: sender_module.Sender, call: sending.Call) -> answering.Ending | None:
+async def try_query(sender: sender_module.Sender, call: sending.Call) -> answering.Result | None:
     """
     Try a query over shards at one replica of one shard, if it is suspected.
 
@@ -55,9 +55,9 @@
     return ending
 
 
-async def instead(
+async def try_request(
     sender: sender_module.Sender, call: sending.Call, service: str
-) -> answering.Ending | None:
+) -> answering.Result | None:
     """
     Send a suspected request to one replica of its service.
 
@@ -67,7 +67,7 @@
         return _ending(sender, call)
     call.route = attrs.evolve(call.route, max_attempts=1)
     call.on_trial = True
-    ending = await answering.single(sender, call, service)
+    ending = await answering.request_service(sender, call, service)
     if ending.outcome == "refused":
         sender.quarantine.trial_not_run(call)
     return _refused(sender, call) or ending
@@ -91,7 +91,7 @@
     return False
 
 
-def _ending(sender: sender_module.Sender, call: sending.Call) -> answering.Ending | None:
+def _ending(sender: sender_module.Sender, call: sending.Call) -> answering.Result | None:
     """Return how a request ends that is not tried now; ``None`` where it may be sent as usual."""
     if sender.quarantine.is_suspected(call):
         return answering.refusal(sender, sending.HELD)
@@ -100,7 +100,7 @@
 
 def _after(
     sender: sender_module.Sender, call: sending.Call, outcome: sending.Outcome
-) -> answering.Ending | None:
+) -> answering.Result | None:
     """Return how a query ends after its trial; ``None`` where the trial has cleared it."""
     match outcome:
         case sending.Answered() | sending.Failed():
@@ -111,7 +111,7 @@
     return _refused(sender, call) or answering.failure(502, sending.reason(outcome))
 
 
-def _refused(sender: sender_module.Sender, call: sending.Call) -> answering.Ending | None:
+def _refused(sender: sender_module.Sender, call: sending.Call) -> answering.Result | None:
     """Return the final answer to a request that is quarantined."""
     if sender.quarantine.verdict(call.fingerprint) is not poison.Verdict.QUARANTINED:
         return None
--- a/src/turmericlug/entry/callers.py
+++ b/src/turmericlug/entry/callers.py
@@ -210,7 +210,7 @@
         self._log(call, ending, loop.time())
         return ending.answer
 
-    async def _ending(self, call: sending.Call, now_s: float) -> answering.Ending:
+    async def _ending(self, call: sending.Call, now_s: float) -> answering.Result:
         if call.deadline_s - now_s < LEAST_LEFT_S:
             return answering.refusal(self.sender, "no_time_left")
         if call.route.shards:
@@ -218,20 +218,20 @@
         if not call.route.services:
             return answering.refusal(self.sender, "no_service")
         service = self._spread.pick(call.route, self.sender.rng)
-        ending = await trial.instead(self.sender, call, service)
-        return ending or await answering.single(self.sender, call, service)
+        ending = await trial.try_request(self.sender, call, service)
+        return ending or await answering.request_service(self.sender, call, service)
 
-    async def _all_shards(self, call: sending.Call) -> answering.Ending:
+    async def _all_shards(self, call: sending.Call) -> answering.Result:
         loop = asyncio.get_running_loop()
-        held = await trial.before(self.sender, call)
+        held = await trial.try_query(self.sender, call)
         if held is not None:
             return held
         if not self._slow_start.begin(loop.time()) and not await self._turn(call):
-            return answering.refusal(self.sender, STARTING, answering.storm_come_back_s)
+            return answering.refusal(self.sender, STARTING, answering.overload_retry_after_s)
         in_time = False
         began_s = loop.time()
         try:
-            ending = await answering.all_shards(self.sender, call)
+            ending = await answering.query_shards(self.sender, call)
             told_s = loop.time() + call.way_back_s
             in_time = ending.answer.status == 200 and told_s <= call.goal_at_s
             return ending
@@ -282,7 +282,7 @@
             age_ms=round((now_s - call.began_s) * 1000, 1),
         )
 
-    def _log(self, call: sending.Call, ending: answering.Ending, now_s: float) -> None:
+    def _log(self, call: sending.Call, ending: answering.Result, now_s: float) -> None:
         counters = self.sender.counters
         counters.add(f"entry.{ending.outcome}")
         if ending.outcome == "refused":
--- a/src/turmericlug/entry/helping.py
+++ b/src/turmericlug/entry/helping.py
@@ -47,7 +47,7 @@
         if reason:
             sender.counters.add("helping.refused")
             decisions.log("helping.refused", request=batch.request_id, **reason)
-            return messages.Answer(handover.REFUSED)
+            return messages.Answer(handover.REFUSED_STATUS)
         return messages.Answer(200, chunks=_answers(sender, batch, request.arrived_s))
 
     return handle
@@ -186,5 +186,5 @@
         else:
             may_have_run = not isinstance(outcome, sending.NotRun)
             failures[shard] = handover_codec.Failure(sending.reason(outcome), may_have_run)
-    records = merge.greatest(bodies, batch.top_records)
+    records = merge.top_records(bodies, batch.top_records)
     return handover_codec.Answer(records, signatures, failures, spent_ms, first)
--- a/tests/direct/test_answering.py
+++ b/tests/direct/test_answering.py
@@ -30,7 +30,7 @@
         sender = scripted.make_sender(shards)
         values = {"shards": tuple(scripts), "top_records": 2, "min_coverage": 0.6} | changes
         call = scripted.make_call(services=(), **values)
-        ending = await answering.all_shards(sender, call)
+        ending = await answering.query_shards(sender, call)
         await sender.tasks.close()
         return ending
 
@@ -152,7 +152,7 @@
         sent = scripted.Scripted(part(1))
         sender = scripted.make_sender({"x": {"x-0": sent}})
         call = scripted.make_call(shards=("x", "y", "z"), min_coverage=0.6, services=())
-        ending = await answering.all_shards(sender, call)
+        ending = await answering.query_shards(sender, call)
         assert (ending.answer.status, ending.reason) == (503, "no_replica")
         assert not sent.requests
 
@@ -181,7 +181,7 @@
     async def main():
         sender = scripted.make_sender({"s": {"a": scripted.Scripted(*script)}})
         call = scripted.make_call(idempotent=False, deadline_ms=200.0)
-        ending = await answering.single(sender, call, "s")
+        ending = await answering.request_service(sender, call, "s")
         await sender.tasks.close()
         return ending.answer
 
@@ -216,7 +216,7 @@
         call = scripted.make_call(
             services=(), shards=("x", "y"), top_records=1, min_coverage=0.5, deadline_ms=30000.0
         )
-        ending = await answering.all_shards(sender, call)
+        ending = await answering.query_shards(sender, call)
         await sender.tasks.finish()
         (replica,) = sender.replicas.of("y")
         return ending.outcome, replica.failures
@@ -239,7 +239,7 @@
         call = scripted.make_call(
             services=(), shards=("x", "y"), top_records=1, min_coverage=0.5, deadline_ms=3000.0
         )
-        ending = await answering.all_shards(sender, call)
+        ending = await answering.query_shards(sender, call)
         await sender.tasks.finish()
         (replica,) = sender.replicas.of("y")
         return ending.outcome, len(late.requests), replica.failures, replica.pool.open_count
--- a/tests/direct/test_handover.py
+++ b/tests/direct/test_handover.py
@@ -26,7 +26,7 @@
         sender = handing.make_sender(replicas)
         async with handing.peer(handler, **options) as sender.handover:
             call = handing.query_call(min_coverage=min_coverage)
-            ending = await answering.all_shards(sender, call)
+            ending = await answering.query_shards(sender, call)
             await sender.tasks.close()
         sent = {
             name: len(script.requests)
@@ -61,7 +61,7 @@
         sender = handing.make_sender(handing.scripts())
         async with handing.peer(handing.helper(elsewhere)) as sender.handover:
             call = handing.query_call(min_coverage=1.0)
-            ending = await answering.all_shards(sender, call)
+            ending = await answering.query_shards(sender, call)
             await sender.tasks.close()
         return ending, sender.counters.totals
 
@@ -150,7 +150,7 @@
         sender.instances = lambda: 74
         async with handing.peer(first, interim, others=[handing.helper(far)]) as sender.handover:
             call = handing.query_call(shards=("x", "y"), min_coverage=1.0, deadline_ms=5000.0)
-            ending = await answering.all_shards(sender, call)
+            ending = await answering.query_shards(sender, call)
             await sender.tasks.close()
         directly = sum(len(each.requests) for shard in near.values() for each in shard.values())
         return ending.outcome, directly, "handover.moved" in sender.counters.totals
@@ -177,7 +177,7 @@
         sender = handing.make_sender(here)
         async with handing.peer(handing.helper(knowing)) as sender.handover:
             call = handing.query_call(shards=("x", "y"), min_coverage=1.0)
-            ending = await answering.all_shards(sender, call)
+            ending = await answering.query_shards(sender, call)
             await sender.tasks.close()
         return ending.outcome, sender.counters.totals.get("handover.lost", 0)
 
@@ -262,7 +262,7 @@
         sender = handing.make_sender(handing.scripts())
         async with handing.peer(failing) as sender.handover:
             for _ in range(4):
-                await answering.all_shards(sender, handing.query_call())
+                await answering.query_shards(sender, handing.query_call())
             await sender.tasks.close()
         return sender.counters.totals
 
@@ -281,7 +281,7 @@
         sender = handing.make_sender(handing.scripts())
         async with handing.peer(handing.helper(elsewhere)) as sender.handover:
             call = handing.query_call(min_coverage=1.0)
-            task = asyncio.create_task(answering.all_shards(sender, call))
+            task = asyncio.create_task(answering.query_shards(sender, call))
             while not elsewhere["x"]["far-1"].requests:
                 await asyncio.sleep(0.005)
             task.cancel()
@@ -315,7 +315,7 @@
         }
         sender = handing.make_sender(replicas)
         async with handing.peer(handler) as sender.handover:
-            await answering.all_shards(
+            await answering.query_shards(
                 sender, handing.query_call(shards=("x", "y"), min_coverage=1.0)
             )
             await sender.tasks.close()
@@ -333,7 +333,7 @@
         sender = handing.make_sender(handing.scripts())
         async with handing.peer(handing.silent) as sender.handover:
             call = handing.query_call(goal_ms=60.0, deadline_ms=90.0)
-            ending = await answering.all_shards(sender, call)
+            ending = await answering.query_shards(sender, call)
             call.abandon()
             await sender.tasks.close()
         assert "x: not in time (handed to e-2" in ending.reason
@@ -354,7 +354,7 @@
         body = handover_codec.encode_batch(handing.BATCH)
         request = messages.Request(b"POST", handover.PATH, (), body, 0.0, stalled_s=0.2)
         answer = await handle(request)
-        assert answer.status == handover.REFUSED
+        assert answer.status == handover.REFUSED_STATUS
         assert not any(each.requests for service in elsewhere.values() for each in service.values())
 
     asyncio.run(main())
@@ -382,7 +382,7 @@
         sender = handing.make_sender(scripts)
         async with handing.peer(dying) as sender.handover:
             call = handing.query_call(shards=("x", "y"), min_coverage=1.0, deadline_ms=500.0)
-            ending = await answering.all_shards(sender, call)
+            ending = await answering.query_shards(sender, call)
             await sender.tasks.close()
         assert ending.outcome == outcome
         return sum(len(script.requests) for script in scripts["x"].values())
--- a/tests/direct/test_merge.py
+++ b/tests/direct/test_merge.py
@@ -25,7 +25,7 @@
     ids=["none", "greatest", "equal ones count", "remainder", "empty part"],
 )
 def test_greatest(bodies, count, expected):
-    assert merge.greatest(bodies, count) == b"".join(map(record, expected))
+    assert merge.top_records(bodies, count) == b"".join(map(record, expected))
 
 
 @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
@@ -34,6 +34,6 @@
     strategies.integers(1, 20),
 )
 def test_greatest_is_the_head_of_the_sorted_whole(parts, count):
-    found = merge.greatest([b"".join(part) for part in parts], count)
+    found = merge.top_records([b"".join(part) for part in parts], count)
     everything = sorted((each for part in parts for each in part), reverse=True)
     assert found == b"".join(everything[:count])
--- a/tests/direct/test_quarantine.py
+++ b/tests/direct/test_quarantine.py
@@ -134,7 +134,7 @@
     scripts, changes = query(scripted.Ending)
 
     async def scenario(sender, call):
-        return await answering.all_shards(sender, call)
+        return await answering.query_shards(sender, call)
 
     ending = play(scripts, scenario, **changes)
     assert (ending.outcome, ending.answer.status) == ("failed", 502)
@@ -165,7 +165,7 @@
 
     async def scenario(sender, call):
         stall_at(sender, part)
-        return await answering.all_shards(sender, call)
+        return await answering.query_shards(sender, call)
 
     ending = play(scripts, scenario, **changes)
     assert ending.outcome == "failed"
@@ -219,7 +219,7 @@
 
     async def scenario(sender, call):
         with stalled_while_reading():
-            await answering.all_shards(sender, call)
+            await answering.query_shards(sender, call)
         return call.hedges
 
     assert play(scripts, scenario, **changes) == 0
@@ -248,7 +248,7 @@
 
     async def scenario(sender, call):
         stall_often(sender, random.Random(seed))
-        return await answering.all_shards(sender, call)
+        return await answering.query_shards(sender, call)
 
     play(scripts, scenario, **changes)
     assert reached(scripts) <= len(SHARDS) + poison.ENDS_TO_SUSPECT - 1
@@ -269,7 +269,7 @@
     changes["goal_ms"] = 120.0
 
     async def scenario(sender, call):
-        await answering.all_shards(sender, call)
+        await answering.query_shards(sender, call)
         return call.hedges
 
     assert play(scripts, scenario, **changes) == 0
@@ -286,7 +286,7 @@
         scripts[shard][f"{shard}-0"] = scripted.Ending()
 
     async def scenario(sender, call):
-        return await answering.all_shards(sender, call)
+        return await answering.query_shards(sender, call)
 
     ending = play(scripts, scenario, **changes)
     assert (ending.outcome, ending.answer.status) == ("answered", 200)
@@ -334,7 +334,7 @@
 
     async def scenario(sender, call):
         suspect(sender)
-        return await trial.before(sender, call), sender.quarantine.verdict(Q)
+        return await trial.try_query(sender, call), sender.quarantine.verdict(Q)
 
     ending, found = play(scripts, scenario, **changes)
     assert found is verdict
@@ -357,7 +357,7 @@
 
     async def scenario(sender, call):
         suspect(sender)
-        return await trial.instead(sender, call, "s")
+        return await trial.try_request(sender, call, "s")
 
     ending = play(scripts, scenario)
     assert (ending.outcome, ending.answer.status) == (outcome, status)
@@ -371,7 +371,7 @@
         suspect(sender)
         other = scripted.make_call(**changes)
         other.fingerprint = Q
-        return await asyncio.gather(trial.before(sender, call), trial.before(sender, other))
+        return await asyncio.gather(trial.try_query(sender, call), trial.try_query(sender, other))
 
     assert play(scripts, scenario, **changes) == [None, None]
     assert reached(scripts) == 1
@@ -386,7 +386,7 @@
         sender.quarantine.enabled = enabled
         suspect(sender)
         sender.quarantine.book.ended(Q, "t", asyncio.get_running_loop().time(), on_trial=True)
-        return await trial.before(sender, call)
+        return await trial.try_query(sender, call)
 
     ending = play(scripts, scenario, **changes)
     assert reached(scripts) == 0
@@ -408,7 +408,7 @@
         now_s = asyncio.get_running_loop().time()
         told = poison.Record({f"r{n}": now_s for n in range(4)}, quarantined_s=now_s, quarantines=1)
         with sender.quarantine.under_way(call):
-            work = asyncio.create_task(answering.all_shards(sender, call))
+            work = asyncio.create_task(answering.query_shards(sender, call))
             await asyncio.sleep(0.05)
             assert sender.quarantine.learn(Q, told)
             ending = await work
--- a/tests/direct/test_regions.py
+++ b/tests/direct/test_regions.py
@@ -65,7 +65,7 @@
     replicas = service(*steps)
 
     async def scenario(sender, call):
-        return await answering.single(sender, call, "s")
+        return await answering.request_service(sender, call, "s")
 
     ending = play({"s": replicas}, scenario, regions=regions, deadline_ms=800.0, **changes)
     allowed = {name for name in FAR_AND_NEAR if handing.REGIONS[name.partition("-")[0]] in regions}
@@ -84,7 +84,7 @@
         for name in ("a", "b", "c"):
             sender.quarantine.book.ended(b"q", name, sender.quarantine._now_s(), False)
         assert sender.quarantine.verdict(b"q") is poison.Verdict.SUSPECTED
-        return await trial.before(sender, call)
+        return await trial.try_query(sender, call)
 
     play(shards, scenario, regions=THERE, shards=("x", "y"), services=(), min_coverage=0.5)
     assert {name for each in shards.values() for name in reached(each)} == {"far-1"}
@@ -94,7 +94,7 @@
     scripts = {"x": service(GOOD), "y": service(GOOD, names=("near-1",))}
 
     async def scenario(sender, call):
-        return await answering.all_shards(sender, call)
+        return await answering.query_shards(sender, call)
 
     ending = play(
         scripts, scenario, regions=THERE, shards=("x", "y"), services=(), min_coverage=0.9
@@ -118,12 +118,12 @@
         async with handing.peer(handle) as towards:
             sender.handover = towards
             call = handing.query_call(regions=frozenset({"here"}), min_coverage=0.3)
-            ending = await answering.all_shards(sender, call)
+            ending = await answering.query_shards(sender, call)
             assert not taken
             assert ending.outcome == "partial"
             assert {name for each in scripts.values() for name in reached(each)} == {"near-3"}
             call = handing.query_call(regions=THERE)
-            await answering.all_shards(sender, call)
+            await answering.query_shards(sender, call)
             assert [each.regions for each in taken] == [THERE]
         await sender.tasks.close()
 
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -182,8 +182,12 @@
     answers, refused, sent = asyncio.run(main())
     assert [each.status for each in answers] == [200] * (taken + more)
     assert (refused.status, refused.body, sent) == (503, b"starting", taken + more)
-    least_s = answering.STORM_LEAST_S
-    assert least_s <= float(dict(refused.headers)[b"retry-after"]) <= answering.STORM_MOST_S
+    least_s = answering.OVERLOAD_RETRY_AFTER_MIN_S
+    assert (
+        least_s
+        <= float(dict(refused.headers)[b"retry-after"])
+        <= answering.OVERLOAD_RETRY_AFTER_MAX_S
+    )
 
 
 SENT_AT_ONCE, CONNECTED, LOOKED_UP, BOTH = (0.0, 800), (7.0, 793), (14.0, 786), (21.0, 779)
@@ -207,7 +211,7 @@
         calls.append(call)
         return answering.refusal(sender, "enough seen")
 
-    monkeypatch.setattr(answering, "all_shards", all_shards)
+    monkeypatch.setattr(answering, "query_shards", all_shards)
     way_back_s = 0.003
 
     async def main():
