--- a/src/turmericlug/direct/answering.py
+++ b/src/turmericlug/direct/answering.py
@@ -1,4 +1,4 @@
-"""From a caller's request to its one answer: a single service, or all shards of a query."""
+"""Answers a caller's request from one service, or a query from all shards of its route."""
 
 from __future__ import annotations
 
@@ -20,80 +20,81 @@
 from turmericlug.http1 import client
 from turmericlug.http1 import messages
 
-COME_BACK_LEAST_S = 0.05
-COME_BACK_MOST_S = 0.4
-"""Callers refused together come back spread over some service times, not all at once."""
+RETRY_AFTER_MIN_S = 0.05
+RETRY_AFTER_MAX_S = 0.4
+"""Range of the ``Retry-After`` delay. It spreads the retries of callers that are refused
+together over a few service times."""
 OVERLOAD_RETRY_AFTER_MIN_S = 0.25
 OVERLOAD_RETRY_AFTER_MAX_S = 2.0
-"""While an instance starts: what an outage of two seconds has left waiting is worked off within
-about as long."""
+"""Range of the ``Retry-After`` delay while an instance starts. The requests that queue up during an
+outage of two seconds are then processed within about two seconds."""
 _DATE = b"date"
 
 
 @attrs.frozen
 class Result:
-    """The answer to a request and why it is that one."""
+    """The answer to a request, with its outcome and the reason for it."""
 
     answer: messages.Answer
     outcome: str
-    """``answered``, ``partial``, ``refused`` (nothing ran), ``failed`` (may have run)."""
+    """``answered``, ``partial``, ``refused`` (nothing ran) or ``failed`` (it may have run)."""
     reason: str = ""
 
 
-def come_back_s(rng: random.Random) -> float:
-    """Draw when a refused caller should come back."""
-    return rng.uniform(COME_BACK_LEAST_S, COME_BACK_MOST_S)
+def retry_after_s(rng: random.Random) -> float:
+    """Draw the ``Retry-After`` delay of a refused request."""
+    return rng.uniform(RETRY_AFTER_MIN_S, RETRY_AFTER_MAX_S)
 
 
 def overload_retry_after_s(rng: random.Random) -> float:
-    """Draw when a caller should come back that was refused because too many came at once."""
+    """Draw the ``Retry-After`` delay of a request refused because too many arrive at once."""
     return rng.uniform(OVERLOAD_RETRY_AFTER_MIN_S, OVERLOAD_RETRY_AFTER_MAX_S)
 
 
 def refusal(
     sender: sender_module.Sender,
     reason: str,
-    draw_s: abc.Callable[[random.Random], float] = come_back_s,
+    draw_delay_s: abc.Callable[[random.Random], float] = retry_after_s,
 ) -> Result:
-    """Refuse: nothing ran and nothing will; the caller learns when to come back."""
-    seconds = b"%.3f" % draw_s(sender.rng)
-    answer = messages.Answer(503, ((sender.names.retry_after, seconds),), reason.encode())
+    """Return a 503 with ``Retry-After``: the request did not run and will not run."""
+    delay = b"%.3f" % draw_delay_s(sender.rng)
+    answer = messages.Answer(503, ((sender.names.retry_after, delay),), reason.encode())
     return Result(answer, "refused", reason)
 
 
 def failure(status: int, reason: str) -> Result:
-    """Fail: the request may have run, nothing is promised."""
+    """Return a failure that leaves open whether the request ran."""
     return Result(messages.Answer(status, (), reason.encode()), "failed", reason)
 
 
 async def request_service(sender: sender_module.Sender, call: sending.Call, service: str) -> Result:
-    """Answer a request that one replica of one service answers."""
+    """Answer a request from one replica of one service."""
     outcome = await obtaining.obtain(sender, call, service)
     match outcome:
         case sending.Answered():
-            return Result(_passed_on(outcome.response, outcome.response.status), "answered")
+            return Result(_forwarded(outcome.response, outcome.response.status), "answered")
         case sending.Failed():
-            return _failed_by_replica(outcome)
+            return _replica_failure(outcome)
         case sending.NotRun():
             return refusal(sender, outcome.reason)
         case sending.Unknown():
             return failure(504 if sending.is_late(outcome) else 502, outcome.reason)
 
 
-def _failed_by_replica(outcome: sending.Failed) -> Result:
+def _replica_failure(outcome: sending.Failed) -> Result:
     """
-    Pass a replica's own failure on unchanged.
+    Forward a replica's own failure unchanged, unless its status promises that nothing ran.
 
-    But for a status that callers take for the promise that nothing ran, since it did run: it
-    becomes a 502 without the replica's signature.
+    The request did run. Callers read such a status as a promise that it did not, so it becomes a
+    502 without the replica's signature.
     """
     status = outcome.response.status
     if sending.promises_not_run(status):
         return failure(502, f"replica_status_{status}")
-    return Result(_passed_on(outcome.response, status), "failed", f"replica_status_{status}")
+    return Result(_forwarded(outcome.response, status), "failed", f"replica_status_{status}")
 
 
-def _passed_on(response: client.Response, status: int) -> messages.Answer:
+def _forwarded(response: client.Response, status: int) -> messages.Answer:
     headers = tuple(
         (name, value) for name, value in client.end_to_end(response.headers) if name != _DATE
     )
@@ -104,13 +105,13 @@
     """
     Answer a query with the greatest records of all shards.
 
-    Waits for all of them until shortly before the goal. From then on it answers as soon as enough
-    shards are in, with the number of those that are missing.
+    Waits for all shards until shortly before the goal. From then on it answers as soon as enough
+    shards have answered, and reports the number of missing shards.
     """
-    first = first_choices(sender, call)
-    if len(first) < least_parts(call):
-        # Too few shards have a replica: nothing needs to be sent.
-        return refusal(sender, _why_too_few_replicas(sender, call, first))
+    first_replicas = first_choices(sender, call)
+    if len(first_replicas) < min_parts(call):
+        # Too few shards have a replica to reach the minimum coverage: nothing is sent.
+        return refusal(sender, _no_replica_reason(sender, call, first_replicas))
     answer_after_ms = timing.answer_after_ms(
         call.route.goal_ms,
         call.way_back_s * 1000,
@@ -120,29 +121,29 @@
     now_s = asyncio.get_running_loop().time()
     answer_at_s = call.began_s + answer_after_ms / 1000
     if answer_at_s < now_s + timing.HOPELESS_SHARE * call.route.goal_ms / 1000:
-        # In time is out of reach: an answer of more shards is worth more then than a sooner one.
+        # The goal can't be met. An answer from more shards is then worth more than an earlier one.
         answer_at_s = now_s + timing.LATE_SHARE * call.route.goal_ms / 1000
     call.answer_at_s = answer_at_s
-    parts = _started(sender, call, first, answer_at_s)
+    parts = _start_parts(sender, call, first_replicas, answer_at_s)
     try:
-        await _enough(call, parts, answer_at_s)
+        await _wait_for_enough(call, parts, answer_at_s)
     finally:
-        # Sends under way finish by themselves, which keeps their connections usable.
+        # Sends in flight complete on their own, so that their connections can be reused.
         for part in parts.values():
             part.cancel()
         call.answered(timing.STUCK_AFTER_S)
-    return conclude(sender, call, parts)
+    return build_result(sender, call, parts)
 
 
-def _why_too_few_replicas(
-    sender: sender_module.Sender, call: sending.Call, first: peers_module.FirstChoices
+def _no_replica_reason(
+    sender: sender_module.Sender, call: sending.Call, first_replicas: peers_module.FirstChoices
 ) -> str:
-    """Return the reason why most shards without a replica to take a part have none."""
+    """Return the most common reason why shards have no replica to send to."""
     now_s = asyncio.get_running_loop().time()
     reasons = collections.Counter(
         sender.replicas.why_none(shard, call.route, now_s)
         for shard in call.route.shards
-        if shard not in first
+        if shard not in first_replicas
     )
     return reasons.most_common(1)[0][0]
 
@@ -150,43 +151,43 @@
 Parts = dict[str, asyncio.Task[sending.Outcome]]
 
 
-def _started(
+def _start_parts(
     sender: sender_module.Sender,
     call: sending.Call,
-    first: peers_module.FirstChoices,
+    first_replicas: peers_module.FirstChoices,
     answer_at_s: float,
 ) -> Parts:
-    """Start every part: in a batch with others where its replicas are far, else from here."""
+    """Start every part: in a batch through a peer if its replicas are remote, else directly."""
     loop = asyncio.get_running_loop()
-    in_batch: dict[str, handover.Handed] = {}
+    batches: dict[str, handover.PendingBatch] = {}
     if sender.handover is not None:
-        in_batch = sender.handover.start(sender, call, first, answer_at_s)
+        batches = sender.handover.start(sender, call, first_replicas, answer_at_s)
     return {
         shard: loop.create_task(
-            handover.part(sender, call, in_batch[shard], shard)
-            if shard in in_batch
-            else obtaining.obtain(sender, call, shard, first.get(shard))
+            handover.shard_outcome(sender, call, batches[shard], shard)
+            if shard in batches
+            else obtaining.obtain(sender, call, shard, first_replicas.get(shard))
         )
         for shard in call.route.shards
     }
 
 
 def first_choices(sender: sender_module.Sender, call: sending.Call) -> peers_module.FirstChoices:
-    """Choose the best replica of each shard that has one."""
+    """Choose the best replica of each shard that has an available one."""
     now_s = asyncio.get_running_loop().time()
-    chosen = {
+    first_replicas = {
         shard: sender.replicas.choose(shard, call.route, (), now_s) for shard in call.route.shards
     }
-    return {shard: replica for shard, replica in chosen.items() if replica is not None}
+    return {shard: replica for shard, replica in first_replicas.items() if replica is not None}
 
 
-async def _enough(call: sending.Call, parts: Parts, answer_at_s: float) -> None:
-    """Wait until the query should be answered with the parts that are in."""
+async def _wait_for_enough(call: sending.Call, parts: Parts, answer_at_s: float) -> None:
+    """Wait until the query should be answered with the parts received so far."""
     loop = asyncio.get_running_loop()
-    progress = _Progress(len(parts), least_parts(call), loop.create_future())
+    progress = _Progress(len(parts), min_parts(call), loop.create_future())
     for part in parts.values():
-        part.add_done_callback(progress.ended)
-    goal_near = loop.call_at(answer_at_s, progress.goal_near)
+        part.add_done_callback(progress.part_ended)
+    goal_near = loop.call_at(answer_at_s, progress.on_goal_near)
     deadline = loop.call_at(call.deadline_s, progress.decide)
     try:
         await progress.decided
@@ -197,122 +198,123 @@
 
 @attrs.define
 class _Progress:
-    """Counts how the parts of a query end, and tells when it should be answered."""
+    """Counts the outcomes of a query's parts and decides when the query should be answered."""
 
     total: int
-    least: int
+    required: int
     decided: asyncio.Future[None]
     answered: int = 0
     failed: int = 0
-    late: bool = False
+    goal_is_near: bool = False
 
-    def ended(self, part: asyncio.Task[sending.Outcome]) -> None:
-        """Take note of the end of one part."""
+    def part_ended(self, part: asyncio.Task[sending.Outcome]) -> None:
+        """Count the outcome of one part."""
         if part.cancelled():
             return
-        if _answered(part) is None:
+        if _success(part) is None:
             self.failed += 1
         else:
             self.answered += 1
         self._check()
 
-    def goal_near(self) -> None:
-        """Answer as soon as enough parts are in."""
-        self.late = True
+    def on_goal_near(self) -> None:
+        """Answer as soon as enough parts have been received."""
+        self.goal_is_near = True
         self._check()
 
     def _check(self) -> None:
-        under_way = self.total - self.answered - self.failed
-        hopeless = self.answered + under_way < self.least
-        if not under_way or hopeless or (self.late and self.answered >= self.least):
+        pending = self.total - self.answered - self.failed
+        unreachable = self.answered + pending < self.required
+        if not pending or unreachable or (self.goal_is_near and self.answered >= self.required):
             self.decide()
 
     def decide(self) -> None:
-        """Wait no longer."""
+        """Stop waiting for parts."""
         if not self.decided.done():
             self.decided.set_result(None)
 
 
-def least_parts(call: sending.Call) -> int:
-    """Return how many shards an answer needs at least."""
+def min_parts(call: sending.Call) -> int:
+    """Return the minimum number of shards that an answer needs."""
     return max(1, math.ceil(call.route.min_coverage * len(call.route.shards) - 1e-9))
 
 
-Good = sending.Answered | sending.AnsweredInBatch
+Success = sending.Answered | sending.AnsweredInBatch
 
 
-def _is_over(part: asyncio.Task[sending.Outcome]) -> bool:
+def _has_ended(part: asyncio.Task[sending.Outcome]) -> bool:
     return part.done() and not part.cancelled()
 
 
-def _answered(part: asyncio.Task[sending.Outcome]) -> Good | None:
-    if not _is_over(part):
+def _success(part: asyncio.Task[sending.Outcome]) -> Success | None:
+    if not _has_ended(part):
         return None
     outcome = part.result()
-    return outcome if isinstance(outcome, Good) else None
+    return outcome if isinstance(outcome, Success) else None
 
 
-def conclude(sender: sender_module.Sender, call: sending.Call, parts: Parts) -> Result:
-    """Answer with the parts that are in, or refuse or fail where they are too few."""
-    answers = {shard: _answered(part) for shard, part in parts.items()}
+def build_result(sender: sender_module.Sender, call: sending.Call, parts: Parts) -> Result:
+    """Answer with the parts received; refuse or fail if they are too few."""
+    answers = {shard: _success(part) for shard, part in parts.items()}
     present = [answer for answer in answers.values() if answer is not None]
     missing = [shard for shard, answer in answers.items() if answer is None]
-    if len(present) < least_parts(call):
-        return _too_few(sender, call, parts)
+    if len(present) < min_parts(call):
+        return _too_few_shards(sender, call, parts)
     headers = [
         (sender.names.part_signatures, b", ".join(each.signature for each in present)),
         (sender.names.missing_parts, b"%d" % len(missing)),
         (sender.names.request_id, call.request_id),
         (b"content-type", b"application/octet-stream"),
     ]
-    body = merge.top_records(_bodies(present), call.route.top_records)
+    body = merge.top_records(_record_sets(present), call.route.top_records)
     answer = messages.Answer(200, tuple(headers), body)
     if not missing:
         return Result(answer, "answered")
     sender.counters.add("direct.missing_parts", len(missing))
-    why = _told(call, parts, missing, asyncio.get_running_loop().time())
-    return Result(answer, "partial", why)
+    details = _describe_missing(call, parts, missing, asyncio.get_running_loop().time())
+    return Result(answer, "partial", details)
 
 
-def _bodies(answers: list[Good]) -> list[bytes]:
-    """Return the records of all answers; those of a batch, which its shards share, once."""
-    single = [each.response.body for each in answers if isinstance(each, sending.Answered)]
-    shared = {id(each.records): each.records for each in answers if not _is_single(each)}
-    return [*single, *shared.values()]
+def _record_sets(answers: list[Success]) -> list[bytes]:
+    """Return the records of all answers; shards of one batch share theirs, which count once."""
+    unbatched = [each.response.body for each in answers if isinstance(each, sending.Answered)]
+    batched = {id(each.records): each.records for each in answers if not _is_unbatched(each)}
+    return [*unbatched, *batched.values()]
 
 
-def _is_single(answer: Good) -> bool:
+def _is_unbatched(answer: Success) -> bool:
     return isinstance(answer, sending.Answered)
 
 
-def _told(call: sending.Call, parts: Parts, missing: list[str], now_s: float) -> str:
-    """Describe the first missing shards: why, and which replicas were asked."""
+def _describe_missing(call: sending.Call, parts: Parts, missing: list[str], now_s: float) -> str:
+    """Describe the first missing shards: the reason, and the replicas that were sent to."""
     return "; ".join(
-        f"{shard}: {_why(parts[shard])} ({call.told(shard, now_s)})" for shard in missing[:5]
+        f"{shard}: {_failure_reason(parts[shard])} ({call.told(shard, now_s)})"
+        for shard in missing[:5]
     )
 
 
-def _why(part: asyncio.Task[sending.Outcome]) -> str:
-    if not _is_over(part) or sending.is_late(part.result()):
+def _failure_reason(part: asyncio.Task[sending.Outcome]) -> str:
+    if not _has_ended(part) or sending.is_late(part.result()):
         return "not in time"
     return sending.reason(part.result())
 
 
-def _too_few(sender: sender_module.Sender, call: sending.Call, parts: Parts) -> Result:
+def _too_few_shards(sender: sender_module.Sender, call: sending.Call, parts: Parts) -> Result:
     """
-    Refuse when no part can have run, else fail.
+    Refuse the query if no part can have run, else fail it.
 
-    The failures of some parts settle the query before the tasks of the others have had their turn;
-    what those have sent tells then whether they can have run.
+    The failures of some parts can decide the query before the tasks of other parts have run to
+    their end. Whether those parts can have run follows from their sends.
     """
-    ended = {shard: part.result() for shard, part in parts.items() if _is_over(part)}
-    refused = [each for each in ended.values() if isinstance(each, sending.NotRun)]
+    ended = {shard: part.result() for shard, part in parts.items() if _has_ended(part)}
+    not_run = [each for each in ended.values() if isinstance(each, sending.NotRun)]
     may_run = any(call.may_have_run(shard) for shard in parts if shard not in ended)
-    if len(refused) == len(ended) and not may_run:
-        reasons = {outcome.reason.partition(":")[0] for outcome in refused}
+    if len(not_run) == len(ended) and not may_run:
+        reasons = {outcome.reason.partition(":")[0] for outcome in not_run}
         return refusal(sender, ", ".join(sorted(reasons)) or "not_sent")
     now_s = asyncio.get_running_loop().time()
-    missing = [shard for shard, part in parts.items() if not _answered(part)]
-    why = _told(call, parts, missing, now_s)
+    missing = [shard for shard, part in parts.items() if not _success(part)]
+    details = _describe_missing(call, parts, missing, now_s)
     late = timing.is_over(call.deadline_s, now_s)
-    return failure(504 if late else 502, f"too few shards ({len(missing)} missing): {why}")
+    return failure(504 if late else 502, f"too few shards ({len(missing)} missing): {details}")
--- a/src/turmericlug/direct/handover.capnp
+++ b/src/turmericlug/direct/handover.capnp
@@ -1,6 +1,6 @@
 @0xb8f1d0c26a3e9547;
-# Parts of a query that one instance hands to another one near their replicas, and what comes back.
-# Times are milliseconds; a deadline travels as the time that remains, since clocks are not shared.
+# A batch of a query's parts that one instance hands over to a peer near their replicas, and the answers.
+# Times are in milliseconds. A deadline is sent as the time left, since instances don't share a clock.
 
 struct Header { name @0 :Data; value @1 :Data; }
 
@@ -17,23 +17,23 @@
   topRecords @9 :UInt32;
   shards @10 :List(Text);
   answerInMs @11 :Float32;
-  # When to come back with what there is by then.
+  # Time after which the peer sends the answers that it has.
   timeLeftMs @12 :Float32;
   dataCentre @13 :Text;
-  # Of the instances that the parts are handed to; all of them keep to the same replicas.
+  # Data centre of the peer. All instances there send a part to the same replicas.
   again @14 :Bool;
-  # Another of them may have sent the parts before: one send each is left.
+  # Another instance there may have sent the parts before, which leaves one send each.
   bound @15 :Bool;
   regions @16 :List(Text);
-  # Where bound, the only regions whose replicas may get the parts.
+  # If bound is set, the only regions whose replicas may get the parts.
 }
 
 struct Answer {
   records @0 :Data;
-  # The greatest of all answered shards.
+  # The greatest records of all answered shards.
   answered @1 :List(Signed);
   failed @2 :List(Failed);
-  # Shards in neither list come in a later answer of the same batch.
+  # Shards in neither list follow in a later answer to the same batch.
   spentMs @3 :Float32;
   first @4 :Bool;
 }
--- a/src/turmericlug/direct/handover.py
+++ b/src/turmericlug/direct/handover.py
@@ -1,10 +1,11 @@
 """
-Handing the far parts of a query to an instance near their replicas.
+Hands over the parts of a query with remote replicas to a peer, an instance near those replicas.
 
-Each part that crosses regions by itself costs a request and a response on the dearest links; a
-batch crosses once, and what comes back is merged already. The instance that takes it says at once
-that it is alive. One that does not is passed over after a round trip: the shards' other owner gets
-the batch where instances are many, else the parts are sent directly.
+Each part that is sent between regions on its own costs a request and a response on the most
+expensive links. A batch crosses them once, and its answers come back merged. The peer confirms a
+batch at once with an interim response. If that is missing after about a round trip, the batch
+counts as lost: with many instances it goes to the other owner of its shards, else its parts are
+sent directly.
 """
 
 from __future__ import annotations
@@ -26,69 +27,68 @@
 
 PATH = b"/parts"
 REFUSED_STATUS = 503
-"""The peer ran nothing of a batch: it knows too few of the replicas, or it had stood still and
-could not tell how old the batch was."""
-ALIVE_FACTOR = 1.5
-ALIVE_SLACK_MS = 50.0
-"""A sign of life is overdue after one and a half round trips and some busy turns of the other side.
-Sooner, instances that are only busy would be taken for lost; later, direct sends would miss the
-goals."""
-COME_BACK_MARGIN_MS = 4.0
-"""What the way back needs besides the round trip: a turn of either event loop."""
+"""The peer ran no part of a batch: it knows too few of the replicas, or its process was stalled and
+it can't tell how old the batch is."""
+INTERIM_TIMEOUT_FACTOR = 1.5
+INTERIM_TIMEOUT_SLACK_MS = 50.0
+"""The interim response is overdue after 1.5 round trips and a few busy turns of the peer's event
+loop. A shorter timeout counts busy instances as lost; a longer one makes direct sends too late."""
+RETURN_MARGIN_MS = 4.0
+"""Time for an answer in addition to the round trip: one turn of the event loop at each end."""
 
 
 @attrs.define(eq=False)
-class Handed:
-    """A batch under way, with what came back of its shards so far."""
+class PendingBatch:
+    """A batch in flight, with the outcomes of its shards so far."""
 
     peer: replica_module.Replica
     shards: tuple[str, ...]
-    ran_nothing: bool = True
-    """Whether the peer certainly sent none of its parts."""
-    again: bool = False
-    """Whether another peer before may have sent its parts."""
+    not_run: bool = True
+    """Whether the current peer has certainly sent none of the parts."""
+    maybe_sent_before: bool = False
+    """Whether an earlier peer may have sent the parts."""
     outcomes: dict[str, asyncio.Future[sending.Outcome | None]] = attrs.field(factory=dict)
-    """``None`` for a shard whose batch has to be taken for lost."""
+    """By shard; the result is ``None`` if its batch is lost."""
 
-    def take(self, answer: handover_codec.Answer) -> None:
-        """Pass on what has come back."""
+    def apply(self, answer: handover_codec.Answer) -> None:
+        """Set the outcomes of the shards in an answer."""
         for shard, signature in answer.signatures.items():
-            self._end(shard, sending.AnsweredInBatch(signature, answer.records))
+            self._resolve(shard, sending.AnsweredInBatch(signature, answer.records))
         for shard, failure in answer.failures.items():
             if failure.may_have_run:
-                self._end(shard, sending.Unknown(failure.reason))
+                self._resolve(shard, sending.Unknown(failure.reason))
             else:
-                self._end(shard, sending.NotRun(failure.reason, sent=True))
+                self._resolve(shard, sending.NotRun(failure.reason, sent=True))
 
-    def lose(self) -> None:
-        """Give up what has not come back."""
+    def mark_lost(self) -> None:
+        """Mark all shards without an outcome as lost."""
         for shard in self.outcomes:
-            self._end(shard, None)
+            self._resolve(shard, None)
 
     @property
     def may_have_sent(self) -> bool:
-        """Whether any peer may have sent its parts."""
-        return self.again or not self.ran_nothing
+        """Whether any peer may have sent the parts."""
+        return self.maybe_sent_before or not self.not_run
 
     @property
-    def left(self) -> tuple[str, ...]:
-        """The shards that have not come back."""
+    def open_shards(self) -> tuple[str, ...]:
+        """The shards without an outcome."""
         return tuple(each for each in self.shards if not self.outcomes[each].done())
 
     def move_to(self, peer: replica_module.Replica) -> None:
-        """Hand what has not come back to another peer."""
-        self.again = self.may_have_sent
+        """Assign the shards without an outcome to another peer."""
+        self.maybe_sent_before = self.may_have_sent
         self.peer = peer
-        self.shards = self.left
-        self.ran_nothing = True
+        self.shards = self.open_shards
+        self.not_run = True
 
-    def _end(self, shard: str, outcome: sending.Outcome | None) -> None:
+    def _resolve(self, shard: str, outcome: sending.Outcome | None) -> None:
         if not self.outcomes[shard].done():
             self.outcomes[shard].set_result(outcome)
 
 
 class Handover:
-    """Hands batches to the other instances and learns how they do."""
+    """Sends batches to peers and records whether they succeed."""
 
     def __init__(self, peers: peers_module.Peers) -> None:
         self.peers = peers
@@ -97,161 +97,181 @@
         self,
         sender: sender_module.Sender,
         call: sending.Call,
-        first: peers_module.FirstChoices,
+        first_choices: peers_module.FirstChoices,
         answer_at_s: float,
-    ) -> dict[str, Handed]:
+    ) -> dict[str, PendingBatch]:
         """
-        Send the shards that others should send to in batches.
+        Start the batches of the shards that peers should send to.
 
         :returns: the batch of each shard that is in one
         """
         loop = asyncio.get_running_loop()
-        by_shard: dict[str, Handed] = {}
-        for group in self.peers.plan(sender, call, first, loop.time()):
-            handed = Handed(group.peer, group.shards)
-            handed.outcomes = {shard: loop.create_future() for shard in group.shards}
-            task = sender.tasks.start(self._exchange(sender, call, handed, answer_at_s))
+        by_shard: dict[str, PendingBatch] = {}
+        for group in self.peers.plan(sender, call, first_choices, loop.time()):
+            pending = PendingBatch(group.peer, group.shards)
+            pending.outcomes = {shard: loop.create_future() for shard in group.shards}
+            task = sender.tasks.start(self._run_batch(sender, call, pending, answer_at_s))
             call.sends.add(task)
             task.add_done_callback(call.sends.discard)
-            by_shard.update(dict.fromkeys(group.shards, handed))
+            by_shard.update(dict.fromkeys(group.shards, pending))
             sender.counters.add("handover.sent")
             sender.counters.add("handover.shards", len(group.shards))
             call.handed_over.update(dict.fromkeys(group.shards, group.peer.entry.instance))
         return by_shard
 
-    async def _exchange(
-        self, sender: sender_module.Sender, call: sending.Call, handed: Handed, answer_at_s: float
+    async def _run_batch(
+        self,
+        sender: sender_module.Sender,
+        call: sending.Call,
+        pending: PendingBatch,
+        answer_at_s: float,
     ) -> None:
         try:
-            came_back = await self._comes_back(sender, call, handed, answer_at_s)
-            if not came_back and self._moved(sender, call, handed):
-                await self._comes_back(sender, call, handed, answer_at_s)
+            completed = await self._exchange_batch(sender, call, pending, answer_at_s)
+            if not completed and self._move_to_other_owner(sender, call, pending):
+                await self._exchange_batch(sender, call, pending, answer_at_s)
         finally:
-            # Also when the caller has left: its connection is closed, which stops the peer as well.
-            handed.lose()
+            # Also if the caller disconnects; the closed connection then stops the peer.
+            pending.mark_lost()
 
-    async def _comes_back(
-        self, sender: sender_module.Sender, call: sending.Call, handed: Handed, answer_at_s: float
+    async def _exchange_batch(
+        self,
+        sender: sender_module.Sender,
+        call: sending.Call,
+        pending: PendingBatch,
+        answer_at_s: float,
     ) -> bool:
-        """Send a batch and take its answers; false when it has to be taken for lost."""
+        """Send a batch and apply its answers; return false if the batch is lost."""
         loop = asyncio.get_running_loop()
-        peer = handed.peer
-        send = replica_module.Send(loop.time(), self._alive_after_s(peer.entry.data_centre))
+        peer = pending.peer
+        send = replica_module.Send(loop.time(), self._interim_timeout_s(peer.entry.data_centre))
         peer.sends.add(send)
         try:
-            await self._sent(sender, call, handed, answer_at_s, send)
+            await self._send_batch(sender, call, pending, answer_at_s, send)
         except (
             client.ConnectError,
             client.ExchangeError,
             handover_codec.MessageError,
         ) as error:
-            self._lost(sender, call, handed, str(error), send.began_s)
+            self._record_loss(sender, call, pending, str(error), send.began_s)
             return False
         except TimeoutError:
-            self._lost(sender, call, handed, "silent", send.began_s)
+            self._record_loss(sender, call, pending, "silent", send.began_s)
             return False
         finally:
             peer.sends.discard(send)
         peer.succeeded(1.0, 1.0, loop.time())
         return True
 
-    def _moved(self, sender: sender_module.Sender, call: sending.Call, handed: Handed) -> bool:
+    def _move_to_other_owner(
+        self, sender: sender_module.Sender, call: sending.Call, pending: PendingBatch
+    ) -> bool:
         """
-        Choose the other owner for what a lost batch left open, if there is one.
+        Assign the open shards of a lost batch to their other owner; return false if there is none.
 
-        An instance that sends the parts by itself instead opens a connection for each, too many at
-        once to be in time.
+        Direct sends would open a connection for each part, too many at once to meet the goal.
         """
         if placement.everyone_sends(sender.instances()):
             return False
-        left = handed.left
-        if not left:
+        open_shards = pending.open_shards
+        if not open_shards:
             return False
-        lost = handed.peer.entry
+        lost_peer = pending.peer.entry
         now_s = asyncio.get_running_loop().time()
-        owners = set(self.peers.owners(lost.data_centre, left[0])) - {lost.instance}
-        peer = self.peers.choose(lost.data_centre, owners, call.route, now_s)
+        owners = set(self.peers.owners(lost_peer.data_centre, open_shards[0])) - {
+            lost_peer.instance
+        }
+        peer = self.peers.choose(lost_peer.data_centre, owners, call.route, now_s)
         if peer is None:
             return False
-        handed.move_to(peer)
-        call.handed_over.update(dict.fromkeys(handed.shards, peer.entry.instance))
+        pending.move_to(peer)
+        call.handed_over.update(dict.fromkeys(pending.shards, peer.entry.instance))
         sender.counters.add("handover.moved")
         decisions.log(
             "handover.moved",
             request=call.request_id,
-            lost=lost.instance,
+            lost=lost_peer.instance,
             to=peer.entry.instance,
-            shards=len(left),
+            shards=len(open_shards),
         )
         return True
 
-    async def _sent(
+    async def _send_batch(
         self,
         sender: sender_module.Sender,
         call: sending.Call,
-        handed: Handed,
+        pending: PendingBatch,
         answer_at_s: float,
         send: replica_module.Send,
     ) -> None:
         loop = asyncio.get_running_loop()
-        data_centre = handed.peer.entry.data_centre
-        async with asyncio.timeout(self._alive_after_s(data_centre)) as limit:
-            async with handed.peer.pool.connection(call.route.priority) as connection:
+        data_centre = pending.peer.entry.data_centre
+        async with asyncio.timeout(self._interim_timeout_s(data_centre)) as limit:
+            async with pending.peer.pool.connection(call.route.priority) as connection:
                 send.began_s = now_s = loop.time()
                 batch = _batch(
-                    call, handed, now_s, answer_at_s, self.peers.round_trip_ms(data_centre)
+                    call, pending, now_s, answer_at_s, self.peers.round_trip_ms(data_centre)
                 )
-                first_by_s = now_s + batch.answer_in_ms / 1000 + self._alive_after_s(data_centre)
-
-                def alive() -> None:
-                    # From now on it is late only when it does not come back as asked. Where its
-                    # parts can't be sent to just any replica again, it is waited for: it lives, and
-                    # may only be busy.
-                    again = all(_has_few_replicas(sender, call, each) for each in handed.shards)
-                    limit.reschedule(min(first_by_s, call.deadline_s) if again else call.deadline_s)
-                    send.overdue_after_s = first_by_s - send.began_s
-
-                def came_back(chunk: bytes) -> None:
-                    answer = handover_codec.decode_answer(chunk, handed.shards)
+                first_answer_by_s = (
+                    now_s + batch.answer_in_ms / 1000 + self._interim_timeout_s(data_centre)
+                )
+
+                def on_interim() -> None:
+                    # The peer is alive: from now on the batch is overdue only if its first answer
+                    # is. If its parts can't be sent to arbitrary replicas again, wait until the
+                    # deadline, since the peer may only be busy.
+                    few_replicas = all(
+                        _has_few_replicas(sender, call, each) for each in pending.shards
+                    )
+                    limit.reschedule(
+                        min(first_answer_by_s, call.deadline_s) if few_replicas else call.deadline_s
+                    )
+                    send.overdue_after_s = first_answer_by_s - send.began_s
+
+                def on_chunk(chunk: bytes) -> None:
+                    answer = handover_codec.decode_answer(chunk, pending.shards)
                     if answer.first:
                         duration_ms = (loop.time() - now_s) * 1000
                         self.peers.learn(data_centre, duration_ms - answer.spent_ms)
                         sender.counters.time_ms("handover.total_ms", duration_ms)
-                        # The rest are stragglers, which the peer waits for as long as the caller.
+                        # The peer waits for the remaining slow parts until the caller's deadline.
                         limit.reschedule(call.deadline_s)
                         send.overdue_after_s = call.deadline_s - send.began_s
-                    handed.take(answer)
+                    pending.apply(answer)
 
-                limit.reschedule(now_s + self._alive_after_s(data_centre))
+                limit.reschedule(now_s + self._interim_timeout_s(data_centre))
                 content = handover_codec.encode_batch(batch)
                 request = client.request_bytes(b"POST", PATH, [(b"host", b"instance")], content)
-                handed.ran_nothing = False
-                response = await connection.exchange(request, alive, came_back)
-        handed.ran_nothing = response.status == REFUSED_STATUS
+                pending.not_run = False
+                response = await connection.exchange(request, on_interim, on_chunk)
+        pending.not_run = response.status == REFUSED_STATUS
         if response.status != 200:
             raise handover_codec.MessageError(f"status {response.status}")
-        if handed.left:
+        if pending.open_shards:
             raise handover_codec.MessageError("ended before every shard was told of")
 
-    def _alive_after_s(self, data_centre: str) -> float:
-        return (ALIVE_FACTOR * self.peers.round_trip_ms(data_centre) + ALIVE_SLACK_MS) / 1000
+    def _interim_timeout_s(self, data_centre: str) -> float:
+        return (
+            INTERIM_TIMEOUT_FACTOR * self.peers.round_trip_ms(data_centre)
+            + INTERIM_TIMEOUT_SLACK_MS
+        ) / 1000
 
-    def _lost(
+    def _record_loss(
         self,
         sender: sender_module.Sender,
         call: sending.Call,
-        handed: Handed,
+        pending: PendingBatch,
         reason: str,
         began_s: float,
     ) -> None:
         now_s = asyncio.get_running_loop().time()
-        set_aside = handed.peer.failed(now_s)
+        set_aside = pending.peer.failed(now_s)
         sender.counters.add("handover.lost")
         decisions.log(
             "handover.lost",
             request=call.request_id,
-            peer=handed.peer.entry.instance,
-            shards=len(handed.shards),
+            peer=pending.peer.entry.instance,
+            shards=len(pending.shards),
             reason=reason,
             age_ms=round((now_s - began_s) * 1000, 1),
             set_aside=set_aside,
@@ -260,12 +280,12 @@
 
 def _batch(
     call: sending.Call,
-    handed: Handed,
+    pending: PendingBatch,
     now_s: float,
     answer_at_s: float,
     round_trip_ms: float,
 ) -> handover_codec.Batch:
-    left_ms = (answer_at_s - now_s) * 1000 - round_trip_ms - COME_BACK_MARGIN_MS
+    left_ms = (answer_at_s - now_s) * 1000 - round_trip_ms - RETURN_MARGIN_MS
     return handover_codec.Batch(
         request_id=call.request_id,
         method=call.method,
@@ -277,39 +297,40 @@
         priority=call.route.priority,
         max_attempts=call.route.max_attempts,
         top_records=call.route.top_records,
-        shards=handed.shards,
+        shards=pending.shards,
         answer_in_ms=max(left_ms, 1.0),
         time_left_ms=max((call.deadline_s - now_s) * 1000 - round_trip_ms / 2, 1.0),
-        data_centre=handed.peer.entry.data_centre,
-        again=handed.again,
+        data_centre=pending.peer.entry.data_centre,
+        again=pending.maybe_sent_before,
         regions=call.route.regions,
     )
 
 
-async def part(
-    sender: sender_module.Sender, call: sending.Call, handed: Handed, shard: str
+async def shard_outcome(
+    sender: sender_module.Sender, call: sending.Call, pending: PendingBatch, shard: str
 ) -> sending.Outcome:
     """
-    Return what a batch brought for one of its shards.
+    Return the outcome of one shard of a batch.
 
-    A direct send makes up for a lost one, within what the peer may have sent.
+    If the batch is lost, the part is sent directly. If a peer may have sent it already, it goes
+    only to a replica that the peer may have used.
     """
-    outcome = await asyncio.shield(handed.outcomes[shard])
+    outcome = await asyncio.shield(pending.outcomes[shard])
     if isinstance(outcome, sending.AnsweredInBatch):
         sender.quarantine.answered(call)
-    if outcome is None and handed.may_have_sent:
-        place = handed.peer.entry.data_centre
-        return await obtaining.obtain(sender, call, shard, handed_to=place, again=True)
-    if outcome is None or _unknown_there(outcome):
+    if outcome is None and pending.may_have_sent:
+        peer_data_centre = pending.peer.entry.data_centre
+        return await obtaining.obtain(sender, call, shard, handed_to=peer_data_centre, again=True)
+    if outcome is None or _lacked_replica(outcome):
         return await obtaining.obtain(sender, call, shard)
     return outcome
 
 
-def _unknown_there(outcome: sending.Outcome) -> bool:
-    """Whether the peer does not know the shard's replicas, which may be news to it."""
+def _lacked_replica(outcome: sending.Outcome) -> bool:
+    """Whether the peer knows no replica of the shard; it may not have read of them yet."""
     return isinstance(outcome, sending.NotRun) and outcome.reason == replicas_module.NO_REPLICA
 
 
 def _has_few_replicas(sender: sender_module.Sender, call: sending.Call, shard: str) -> bool:
-    """Whether a shard has so few replicas that no send can reach too many."""
+    """Whether a shard has no more replicas than its route allows to send to."""
     return len(sender.replicas.open_to(shard, call.route)) <= call.route.max_attempts
--- a/src/turmericlug/direct/handover_codec.py
+++ b/src/turmericlug/direct/handover_codec.py
@@ -1,4 +1,4 @@
-"""Messages between instances about parts that are handed over, as Cap'n Proto."""
+"""Encodes and decodes the messages of handed-over batches between instances in Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class MessageError(Exception):
-    """Bytes from another instance that are no message of this protocol."""
+    """Content from another instance is not a valid message of this protocol."""
 
 
 @attrs.frozen
 class Batch:
-    """Parts of one query for an instance near their replicas."""
+    """Parts of one query that are handed over to an instance near their replicas."""
 
     request_id: bytes
     method: bytes
@@ -31,19 +31,19 @@
     top_records: int
     shards: tuple[str, ...]
     answer_in_ms: float
-    """When to come back with what there is by then."""
+    """Time after which the peer sends the answers that it has."""
     time_left_ms: float
     data_centre: str
-    """Of the instances that the parts are handed to; all of them keep to the same replicas."""
+    """Data centre of the peer. All instances there send a part to the same replicas."""
     again: bool = False
-    """Whether another of them may have sent the parts before: one send each is left."""
+    """Whether another instance there may have sent the parts before, which leaves one send each."""
     regions: frozenset[str] | None = None
-    """The only regions whose replicas may get the parts; ``None``: any."""
+    """The only regions whose replicas may get the parts; ``None`` allows all."""
 
 
 @attrs.frozen
 class Failure:
-    """Why a shard has no answer."""
+    """The failure of one shard's part."""
 
     reason: str
     may_have_run: bool
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class Answer:
-    """What came of a batch; shards in neither field come in a later answer."""
+    """Outcomes of a batch. Shards in neither dictionary follow in a later answer."""
 
     records: bytes
     """The greatest records of all answered shards."""
@@ -59,11 +59,11 @@
     failures: dict[str, Failure]
     spent_ms: float
     first: bool = True
-    """Whether it is the first answer to its batch."""
+    """Whether this is the first answer to the batch."""
 
 
 def encode_batch(batch: Batch) -> bytes:
-    """Write a batch."""
+    """Encode a batch."""
     message = _SCHEMA.Batch.new_message(
         requestId=batch.request_id,
         method=batch.method,
@@ -88,9 +88,9 @@
 
 def decode_batch(content: bytes) -> Batch:
     """
-    Read a batch.
+    Decode a batch.
 
-    :raises MessageError: the bytes are none
+    :raises MessageError: the content is not a valid batch
     """
     try:
         message = _SCHEMA.Batch.from_bytes_packed(
@@ -114,26 +114,26 @@
             again=message.again,
             regions=frozenset(message.regions) if message.bound else None,
         )
-    except Exception as error:  # the library raises its own type for each kind of damage
+    except Exception as error:  # the library raises a different type for each kind of damage
         raise MessageError(str(error).splitlines()[0][:200]) from error
 
 
 def encode_answer(answer: Answer, shards: tuple[str, ...]) -> bytes:
     """
-    Write an answer.
+    Encode an answer.
 
-    :param shards: those of the batch, by whose order shards are named
+    :param shards: shards of the batch; the answer refers to a shard by its index here
     """
-    numbers = {shard: number for number, shard in enumerate(shards)}
+    indexes = {shard: index for index, shard in enumerate(shards)}
     message = _SCHEMA.Answer.new_message(
         records=answer.records,
         answered=[
-            {"shard": numbers[shard], "signature": signature}
+            {"shard": indexes[shard], "signature": signature}
             for shard, signature in answer.signatures.items()
         ],
         failed=[
             {
-                "shard": numbers[shard],
+                "shard": indexes[shard],
                 "reason": failure.reason,
                 "mayHaveRun": failure.may_have_run,
             }
@@ -147,9 +147,10 @@
 
 def decode_answer(content: bytes, shards: tuple[str, ...]) -> Answer:
     """
-    Read an answer to a batch of these shards.
+    Decode an answer to a batch.
 
-    :raises MessageError: the bytes are none
+    :param shards: shards of the batch, in its order
+    :raises MessageError: the content is not a valid answer to the batch
     """
     try:
         message = _SCHEMA.Answer.from_bytes_packed(
@@ -164,5 +165,5 @@
             spent_ms=message.spentMs,
             first=message.first,
         )
-    except Exception as error:  # as above, and shards that the batch didn't have
+    except Exception as error:  # as in decode_batch; IndexError for a shard outside the batch
         raise MessageError(str(error).splitlines()[0][:200]) from error
--- a/src/turmericlug/direct/merge.py
+++ b/src/turmericlug/direct/merge.py
@@ -1,4 +1,4 @@
-"""Merging the parts of a query: the greatest records of all, greatest first."""
+"""Merges the parts of a query into their greatest records, in descending order."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from collections import abc
 
 RECORD_BYTES = 16
-"""Length of one record; a shorter remainder of a part is no record."""
+"""Length of one record; a shorter remainder at the end of a part is ignored."""
 
 
 def top_records(bodies: abc.Iterable[bytes], count: int) -> bytes:
     """
-    Return the greatest records of all parts, greatest first; equal records all count.
+    Return the greatest records of all parts in descending order; duplicates are kept.
 
     :param bodies: records of each part, in any order
-    :param count: how many records at most
+    :param count: maximum number of records
     """
     records = (
         body[start : start + RECORD_BYTES]
--- a/src/turmericlug/direct/trial.py
+++ b/src/turmericlug/direct/trial.py
@@ -1,8 +1,8 @@
 """
-Trying a suspected request at one replica before it may go to any other.
+Sends a suspected request to one replica as a trial before any other replica may get it.
 
-The load pattern: an innocent request was beside one that ends replicas, and its caller asks again;
-the culprit's caller does the same. At one replica each shows which of them it is.
+When a request crashes a replica, the harmless requests in flight there become suspects as well, and
+the callers of all of them retry. A trial of each at a single replica tells which one is the cause.
 """
 
 from __future__ import annotations
@@ -17,104 +17,107 @@
 from turmericlug.direct import sending
 from turmericlug.policy import poison
 
-HELD_STATUS = 500
-"""The fault lies in what the replicas run, so that it is none of the 4xx; unlike a 503 it promises
-nothing, and does not ask the caller to come back."""
-WAIT_S = 0.25
-"""Wait for a trial that is under way already: a few service times and a journey between regions."""
-LOOK_EVERY_S = 0.02
-HELD_BODY = (
+QUARANTINED_STATUS = 500
+"""Not a 4xx, since the fault lies in the software of the replicas. Not a 503, since that promises
+that the request did not run and asks the caller to retry."""
+TRIAL_WAIT_S = 0.25
+"""How long a request waits for a running trial of the same request: a few service times and the
+latency between regions."""
+POLL_INTERVAL_S = 0.02
+QUARANTINED_BODY = (
     b"every replica ends that runs this request: it is held back, repeating it does not help"
 )
 
 
 async def try_query(sender: sender_module.Sender, call: sending.Call) -> answering.Result | None:
     """
-    Try a query over shards at one replica of one shard, if it is suspected.
+    Try a query at one replica of one shard if the query is suspected.
 
-    :returns: its ending, where it is to go to no further replica now
+    :returns: the final result; ``None`` if the query may be sent as usual
     """
-    if not await _is_to_try(sender, call):
-        return _ending(sender, call)
+    if not await _begin_trial(sender, call):
+        return _untried_result(sender, call)
     shards = [each for each in call.route.shards if sender.replicas.of(each)]
     if not shards:
         sender.quarantine.trial_not_run(call)
         return answering.refusal(sender, sending.HELD)
     route = attrs.evolve(call.route, max_attempts=1)
-    tried = attrs.evolve(call, route=route, on_trial=True, asked={}, sends=set())
+    trial_call = attrs.evolve(call, route=route, on_trial=True, asked={}, sends=set())
     shard = sender.rng.choice(shards)
     try:
-        outcome = await obtaining.obtain(sender, tried, shard)
+        outcome = await obtaining.obtain(sender, trial_call, shard)
     except asyncio.CancelledError:
-        tried.abandon()
+        trial_call.abandon()
         raise
-    ending = _after(sender, call, outcome)
-    if ending is None:
-        # The query goes to this shard once more.
+    result = _result_after_trial(sender, call, outcome)
+    if result is None:
+        # The query is sent to this shard a second time, which counts as an extra send.
         sender.replicas.extra_sends(shard).count_extra(asyncio.get_running_loop().time())
-    return ending
+    return result
 
 
 async def try_request(
     sender: sender_module.Sender, call: sending.Call, service: str
 ) -> answering.Result | None:
     """
-    Send a suspected request to one replica of its service.
+    Send a request to only one replica of its service if the request is suspected.
 
-    :returns: its ending; ``None`` where it is not suspected and may be sent as usual
+    :returns: the final result; ``None`` if the request may be sent as usual
     """
-    if not await _is_to_try(sender, call):
-        return _ending(sender, call)
+    if not await _begin_trial(sender, call):
+        return _untried_result(sender, call)
     call.route = attrs.evolve(call.route, max_attempts=1)
     call.on_trial = True
-    ending = await answering.request_service(sender, call, service)
-    if ending.outcome == "refused":
+    result = await answering.request_service(sender, call, service)
+    if result.outcome == "refused":
         sender.quarantine.trial_not_run(call)
-    return _refused(sender, call) or ending
+    return _quarantine_failure(sender, call) or result
 
 
-async def _is_to_try(sender: sender_module.Sender, call: sending.Call) -> bool:
+async def _begin_trial(sender: sender_module.Sender, call: sending.Call) -> bool:
     """
-    Whether the trial of a request begins now.
+    Begin the trial of a suspected request and return whether it was begun.
 
-    Where another attempt is on trial already, its outcome is waited for: it is a moment away, and
-    decides for both.
+    If another attempt of the same request is on trial, wait for its outcome, which applies to both
+    and comes soon.
     """
     loop = asyncio.get_running_loop()
-    until_s = min(loop.time() + WAIT_S, call.deadline_s)
+    until_s = min(loop.time() + TRIAL_WAIT_S, call.deadline_s)
     while sender.quarantine.is_suspected(call):
         if sender.quarantine.begin_trial(call):
             return True
         if loop.time() >= until_s:
             return False
-        await asyncio.sleep(LOOK_EVERY_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return False
 
 
-def _ending(sender: sender_module.Sender, call: sending.Call) -> answering.Result | None:
-    """Return how a request ends that is not tried now; ``None`` where it may be sent as usual."""
+def _untried_result(sender: sender_module.Sender, call: sending.Call) -> answering.Result | None:
+    """Return the result of a request that gets no trial; ``None`` if it may be sent as usual."""
     if sender.quarantine.is_suspected(call):
         return answering.refusal(sender, sending.HELD)
-    return _refused(sender, call)
+    return _quarantine_failure(sender, call)
 
 
-def _after(
+def _result_after_trial(
     sender: sender_module.Sender, call: sending.Call, outcome: sending.Outcome
 ) -> answering.Result | None:
-    """Return how a query ends after its trial; ``None`` where the trial has cleared it."""
+    """Return the result of a query after its trial; ``None`` if the trial has cleared it."""
     match outcome:
         case sending.Answered() | sending.Failed():
             return None
         case sending.NotRun():
             sender.quarantine.trial_not_run(call)
-            return _refused(sender, call) or answering.refusal(sender, sending.HELD)
-    return _refused(sender, call) or answering.failure(502, sending.reason(outcome))
+            return _quarantine_failure(sender, call) or answering.refusal(sender, sending.HELD)
+    return _quarantine_failure(sender, call) or answering.failure(502, sending.reason(outcome))
 
 
-def _refused(sender: sender_module.Sender, call: sending.Call) -> answering.Result | None:
-    """Return the final answer to a request that is quarantined."""
+def _quarantine_failure(
+    sender: sender_module.Sender, call: sending.Call
+) -> answering.Result | None:
+    """Return the failure of a quarantined request; ``None`` if it is not quarantined."""
     if sender.quarantine.verdict(call.fingerprint) is not poison.Verdict.QUARANTINED:
         return None
     sender.counters.add("poison.refused")
-    ending = answering.failure(HELD_STATUS, sending.HELD)
-    return attrs.evolve(ending, answer=attrs.evolve(ending.answer, body=HELD_BODY))
+    result = answering.failure(QUARANTINED_STATUS, sending.HELD)
+    return attrs.evolve(result, answer=attrs.evolve(result.answer, body=QUARANTINED_BODY))
--- a/tests/direct/test_answering.py
+++ b/tests/direct/test_answering.py
@@ -1,4 +1,4 @@
-"""From a request to its one answer."""
+"""Answers from one service and from all shards of a route."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
         sender = scripted.make_sender(shards)
         values = {"shards": tuple(scripts), "top_records": 2, "min_coverage": 0.6} | changes
         call = scripted.make_call(services=(), **values)
-        ending = await answering.query_shards(sender, call)
+        result = await answering.query_shards(sender, call)
         await sender.tasks.close()
-        return ending
+        return result
 
     return asyncio.run(main())
 
@@ -42,11 +42,11 @@
 
 
 def test_all_shards_are_merged():
-    ending = query({"x": [part(1)], "y": [part(3)], "z": [part(2)]})
-    assert ending.outcome == "answered"
-    assert header(ending.answer, b"parts") == b"sig1, sig3, sig2"
-    assert header(ending.answer, b"missing") == b"0"
-    assert ending.answer.body == (3).to_bytes(16, "big") + (2).to_bytes(16, "big")
+    result = query({"x": [part(1)], "y": [part(3)], "z": [part(2)]})
+    assert result.outcome == "answered"
+    assert header(result.answer, b"parts") == b"sig1, sig3, sig2"
+    assert header(result.answer, b"missing") == b"0"
+    assert result.answer.body == (3).to_bytes(16, "big") + (2).to_bytes(16, "big")
 
 
 @pytest.mark.parametrize(
@@ -59,15 +59,15 @@
     ],
     ids=["silent", "reset", "failed", "shed"],
 )
-def test_missing_shards_are_told(lost, status, outcome):
+def test_missing_shards_are_reported(lost, status, outcome):
     """
-    One shard does not answer in time. The caller gets the others' records before its goal has
-    passed, and is told that one shard is missing; nothing of the lost one is in the answer.
+    One shard does not answer in time. The caller gets the records of the other shards before the
+    goal, and the answer reports one missing shard and holds nothing of it.
     """
-    ending = query({"x": [part(1)], "y": [part(2)], "z": lost})
-    assert (ending.answer.status, ending.outcome) == (status, outcome)
-    assert header(ending.answer, b"missing") == b"1"
-    assert header(ending.answer, b"parts") == b"sig1, sig2"
+    result = query({"x": [part(1)], "y": [part(2)], "z": lost})
+    assert (result.answer.status, result.outcome) == (status, outcome)
+    assert header(result.answer, b"missing") == b"1"
+    assert header(result.answer, b"parts") == b"sig1, sig2"
 
 
 @pytest.mark.parametrize(
@@ -81,9 +81,9 @@
     ids=["some ran", "none ran", "lost", "deadline"],
 )
 def test_too_few_shards(scripts, status, outcome):
-    ending = query(scripts, deadline_ms=300.0)
-    assert (ending.answer.status, ending.outcome) == (status, outcome)
-    assert (header(ending.answer, b"retry-after") is not None) == (status == 503)
+    result = query(scripts, deadline_ms=300.0)
+    assert (result.answer.status, result.outcome) == (status, outcome)
+    assert (header(result.answer, b"retry-after") is not None) == (status == 503)
 
 
 @pytest.mark.parametrize(
@@ -98,11 +98,11 @@
     ],
     ids=["refused", "failed", "under way", "not written yet", "not sent", "with another instance"],
 )
-def test_a_query_fails_before_the_task_of_its_last_part_has_had_its_turn(last, handed_over, status):
+def test_a_query_is_decided_before_the_task_of_its_last_part_has_run(last, handed_over, status):
     """
-    Every replica is full. The second refused part settles that the query fails, while the last
-    one's sends were refused as well but its task has not had its turn. The caller was told "failed"
-    where "not run, come back then" was true, by chance in one of some hundred runs.
+    Every replica sheds load. The second refused part decides that the query fails. The sends of the
+    last part were refused as well, but its task has not run yet. In about one of a hundred runs the
+    caller got a failure instead of the refusal with ``Retry-After`` that was due.
     """
 
     async def main():
@@ -115,16 +115,16 @@
         call.asked["z"] = last
         if handed_over:
             call.handed_over["z"] = "e-2"
-        return answering.conclude(sender, call, parts)
+        return answering.build_result(sender, call, parts)
 
     assert asyncio.run(main()).answer.status == status
 
 
-def test_parts_that_end_a_moment_before_the_deadline_are_late():
+def test_parts_that_end_just_before_the_deadline_have_timed_out():
     """
     No replica answers. The event loop's timers fire up to half a millisecond early, so that all
-    parts have ended just before the deadline. The caller was told 502 and the log "silent", by
-    chance, where the same fault gave 504 and "not in time" in other runs.
+    parts end just before the deadline. In some runs the caller got a 502 and the log said "silent";
+    in others the same fault gave a 504 and "not in time".
     """
 
     async def silent():
@@ -136,11 +136,11 @@
         parts = {shard: asyncio.create_task(silent()) for shard in call.route.shards}
         await asyncio.wait(parts.values())
         call.deadline_s = asyncio.get_running_loop().time() + 0.0005
-        return answering.conclude(sender, call, parts)
+        return answering.build_result(sender, call, parts)
 
-    ending = asyncio.run(main())
-    assert ending.answer.status == 504
-    assert "not in time" in ending.reason
+    result = asyncio.run(main())
+    assert result.answer.status == 504
+    assert "not in time" in result.reason
 
 
 async def _refused():
@@ -152,8 +152,8 @@
         sent = scripted.Scripted(part(1))
         sender = scripted.make_sender({"x": {"x-0": sent}})
         call = scripted.make_call(shards=("x", "y", "z"), min_coverage=0.6, services=())
-        ending = await answering.query_shards(sender, call)
-        assert (ending.answer.status, ending.reason) == (503, "no_replica")
+        result = await answering.query_shards(sender, call)
+        assert (result.answer.status, result.reason) == (503, "no_replica")
         assert not sent.requests
 
     asyncio.run(main())
@@ -172,18 +172,18 @@
     ],
     ids=["good", "404", "500", "ran 503", "shed", "reset", "deadline"],
 )
-def test_single(script, status, signed):
+def test_request_service(script, status, signed):
     """
-    A replica answers 503 although it ran the request. Callers take 503 for the promise that it did
-    not run and send it again; passed on, a voucher would be issued twice.
+    A replica answers 503 although it ran the request. Callers read a 503 as a promise that the
+    request did not run and retry it. If the 503 were forwarded, a voucher would be issued twice.
     """
 
     async def main():
         sender = scripted.make_sender({"s": {"a": scripted.Scripted(*script)}})
         call = scripted.make_call(idempotent=False, deadline_ms=200.0)
-        ending = await answering.request_service(sender, call, "s")
+        result = await answering.request_service(sender, call, "s")
         await sender.tasks.close()
-        return ending.answer
+        return result.answer
 
     answer = asyncio.run(main())
     assert answer.status == status
@@ -192,18 +192,18 @@
 
 def test_a_needed_part_is_waited_for_until_the_deadline():
     """
-    Every replica is so slow that no part comes within a second. The caller waits for two seconds:
-    giving the parts up as lost after 700 ms leaves it without an answer that was on its way.
+    Every replica takes a second to answer and the caller waits for two. If the parts were given up
+    as lost after 700 ms, the caller would miss an answer that was still to come.
     """
     slow = [1.0, part(1)]
-    ending = query({"x": slow, "y": slow, "z": slow}, deadline_ms=2000.0)
-    assert ending.outcome == "answered"
+    result = query({"x": slow, "y": slow, "z": slow}, deadline_ms=2000.0)
+    assert result.outcome == "answered"
 
 
-def test_silent_sends_end_soon_once_the_query_is_answered(monkeypatch):
+def test_silent_sends_end_soon_after_the_query_is_answered(monkeypatch):
     """
-    A connection has gone silent. The query answers without its part; kept until the deadline, the
-    connection would count as in use, and its replica as merely slow.
+    A connection is silent, and the query is answered without its part. If the send lasted until the
+    deadline, the connection would count as in use and its replica only as slow.
     """
     monkeypatch.setattr(answering.timing, "STUCK_AFTER_S", 0.15)
 
@@ -216,19 +216,20 @@
         call = scripted.make_call(
             services=(), shards=("x", "y"), top_records=1, min_coverage=0.5, deadline_ms=30000.0
         )
-        ending = await answering.query_shards(sender, call)
+        result = await answering.query_shards(sender, call)
         await sender.tasks.finish()
         (replica,) = sender.replicas.of("y")
-        return ending.outcome, replica.failures
+        return result.outcome, replica.failures
 
     assert asyncio.run(main()) == ("partial", 1)
 
 
-def test_what_is_not_written_when_the_query_is_answered_never_is():
+def test_a_send_not_yet_written_is_dropped_when_the_query_is_answered():
     """
-    An instance is cut off, and opens connections to replicas itself that are not open when its
-    query has to be answered. Half a second after the answer they were, and each part was written
-    and run for nobody, on a third replica where two are allowed. The connections are kept.
+    An instance that is cut off from its peers opens connections to replicas itself, which are not
+    open yet when its query must be answered. They opened half a second later; each part was then
+    written and ran with no one waiting for it, on a third replica where two are allowed. The
+    connections are kept.
     """
 
     async def main():
@@ -239,9 +240,9 @@
         call = scripted.make_call(
             services=(), shards=("x", "y"), top_records=1, min_coverage=0.5, deadline_ms=3000.0
         )
-        ending = await answering.query_shards(sender, call)
+        result = await answering.query_shards(sender, call)
         await sender.tasks.finish()
         (replica,) = sender.replicas.of("y")
-        return ending.outcome, len(late.requests), replica.failures, replica.pool.open_count
+        return result.outcome, len(late.requests), replica.failures, replica.pool.open_count
 
     assert asyncio.run(main()) == ("partial", 0, 0, 1)
--- a/tests/direct/test_handover.py
+++ b/tests/direct/test_handover.py
@@ -1,4 +1,4 @@
-"""Batches handed to other instances: answered, lost, moved."""
+"""Batches handed over to peers: answered, lost, moved."""
 
 from __future__ import annotations
 
@@ -18,55 +18,56 @@
 from turmericlug.http1 import messages
 
 
-def ask(handler, min_coverage=1.0, **options):
-    """Answer a query at an instance that has a peer; returns the ending and the near replicas."""
+def run_query(handler, min_coverage=1.0, **options):
+    """Answer a query at an instance with a peer; return the result, direct sends and counters."""
 
     async def main():
         replicas = handing.scripts()
         sender = handing.make_sender(replicas)
         async with handing.peer(handler, **options) as sender.handover:
             call = handing.query_call(min_coverage=min_coverage)
-            ending = await answering.query_shards(sender, call)
+            result = await answering.query_shards(sender, call)
             await sender.tasks.close()
         sent = {
             name: len(script.requests)
             for each in replicas.values()
             for name, script in each.items()
         }
-        return ending, sent, sender.counters.totals
+        return result, sent, sender.counters.totals
 
     return asyncio.run(main())
 
 
-def test_far_parts_come_back_merged():
-    """The caller's answer is the same as with direct sends; no far replica was asked from here."""
-    elsewhere = handing.scripts()
-    ending, sent, _ = ask(handing.helper(elsewhere))
-    assert ending.outcome == "answered"
-    assert dict(ending.answer.headers)[b"parts"] == b"sig120, sig121, sig122"
-    assert ending.answer.body == b"".join(n.to_bytes(16, "big") for n in (122, 121))
+def test_remote_parts_are_answered_merged():
+    """The answer is the same as with direct sends, and no remote replica gets a direct send."""
+    peer_replicas = handing.scripts()
+    result, sent, _ = run_query(handing.peer_handler(peer_replicas))
+    assert result.outcome == "answered"
+    assert dict(result.answer.headers)[b"parts"] == b"sig120, sig121, sig122"
+    assert result.answer.body == b"".join(n.to_bytes(16, "big") for n in (122, 121))
     assert sent == {"far-1": 0, "far-2": 0, "further-2": 0, "near-3": 1, "far-3": 0}
-    assert len(elsewhere["x"]["far-1"].requests) == 1
+    assert len(peer_replicas["x"]["far-1"].requests) == 1
 
 
-def test_a_straggler_comes_by_itself_when_the_query_needs_it():
+def test_a_slow_part_follows_in_a_later_answer():
     """
-    One shard of a batch is slow. The batch comes back without it when asked for; the query lacks
-    too many shards and waits. Sent directly as well, the part would run on a third replica.
+    One shard of a batch is slow. The first answer to the batch comes in time without it, and the
+    query waits since it needs the shard. If the part were also sent directly, it would run on a
+    third replica.
     """
-    elsewhere = handing.scripts()
-    elsewhere["x"]["far-1"].script = [0.25, handing.part(120)]
+    peer_replicas = handing.scripts()
+    peer_replicas["x"]["far-1"].script = [0.25, handing.part(120)]
 
     async def main():
         sender = handing.make_sender(handing.scripts())
-        async with handing.peer(handing.helper(elsewhere)) as sender.handover:
+        async with handing.peer(handing.peer_handler(peer_replicas)) as sender.handover:
             call = handing.query_call(min_coverage=1.0)
-            ending = await answering.query_shards(sender, call)
+            result = await answering.query_shards(sender, call)
             await sender.tasks.close()
-        return ending, sender.counters.totals
+        return result, sender.counters.totals
 
-    ending, totals = asyncio.run(main())
-    assert ending.outcome == "answered"
+    result, totals = asyncio.run(main())
+    assert result.outcome == "answered"
     assert totals["handover.lost"] == 0
 
 
@@ -95,20 +96,20 @@
     ("handler", "interim"),
     [
         (handing.silent, b""),
-        (failing, handing.ALIVE),
-        (garbage, handing.ALIVE),
-        (handing.silent, handing.ALIVE),
-        (incomplete, handing.ALIVE),
+        (failing, handing.INTERIM_RESPONSE),
+        (garbage, handing.INTERIM_RESPONSE),
+        (handing.silent, handing.INTERIM_RESPONSE),
+        (incomplete, handing.INTERIM_RESPONSE),
     ],
     ids=["dead", "failing", "garbage", "stuck", "incomplete"],
 )
-def test_a_lost_batch_is_made_up_for_directly(handler, interim):
+def test_the_parts_of_a_lost_batch_are_sent_directly(handler, interim):
     """
-    The other instance is dead, fails or stalls while it holds a batch. Its parts are sent directly,
-    so that no caller's answer hangs on one instance.
+    The peer is dead, fails or stalls while it has a batch. The parts are sent directly, so that no
+    answer depends on a single instance.
     """
-    ending, sent, totals = ask(handler, interim=interim)
-    assert ending.answer.status == 200
+    result, sent, totals = run_query(handler, interim=interim)
+    assert result.answer.status == 200
     assert totals["handover.lost"] == 1
     assert sent["far-1"] == 1
 
@@ -125,35 +126,40 @@
     [
         (handing.silent, b"", 3, True),
         (failing, b"", 3, True),
-        (refusing, handing.ALIVE, 3, True),
-        (failing, handing.ALIVE, 2, True),
-        (failing, handing.ALIVE, 3, True),
+        (refusing, handing.INTERIM_RESPONSE, 3, True),
+        (failing, handing.INTERIM_RESPONSE, 2, True),
+        (failing, handing.INTERIM_RESPONSE, 3, True),
     ],
     ids=["dead", "failing", "refused", "begun, few replicas", "begun, many replicas"],
 )
-def test_where_instances_are_many_a_lost_batch_goes_to_the_other_owner(
+def test_with_many_instances_a_lost_batch_goes_to_the_other_owner(
     first, interim, replicas, moved, monkeypatch
 ):
     """
-    An owner of forty shards does not answer. Sent directly, their parts all need new connections:
-    a machine of half a core opened sixty at once, none in time, and the query failed. The shards'
-    other owner has warm ones. It sends a part that the first may have sent to the same replica.
+    An owner of forty shards does not answer. Direct sends of their parts all need new connections:
+    an instance with half a core opened sixty at once, none in time, and the query failed. The other
+    owner of the shards has open connections. It sends a part that the first owner may have sent
+    only to the same replica.
     """
-    # All instances run in this process: stood it still for 100 ms in between, it took the other
-    # owner for lost as well.
-    monkeypatch.setattr(handover, "ALIVE_SLACK_MS", 500.0)
+    # All instances run in this process. If it stalls for 100 ms, the batch at the other owner
+    # counts as lost as well.
+    monkeypatch.setattr(handover, "INTERIM_TIMEOUT_SLACK_MS", 500.0)
 
     async def main():
         names = ["far-", "further-", "other-"][:replicas]
-        near, far = _shards(names), _shards(names)
-        sender = handing.make_sender(near)
+        own_replicas, peer_replicas = _shards(names), _shards(names)
+        sender = handing.make_sender(own_replicas)
         sender.instances = lambda: 74
-        async with handing.peer(first, interim, others=[handing.helper(far)]) as sender.handover:
+        async with handing.peer(
+            first, interim, others=[handing.peer_handler(peer_replicas)]
+        ) as sender.handover:
             call = handing.query_call(shards=("x", "y"), min_coverage=1.0, deadline_ms=5000.0)
-            ending = await answering.query_shards(sender, call)
+            result = await answering.query_shards(sender, call)
             await sender.tasks.close()
-        directly = sum(len(each.requests) for shard in near.values() for each in shard.values())
-        return ending.outcome, directly, "handover.moved" in sender.counters.totals
+        directly = sum(
+            len(each.requests) for shard in own_replicas.values() for each in shard.values()
+        )
+        return result.outcome, directly, "handover.moved" in sender.counters.totals
 
     outcome = "answered" if moved else "failed"
     assert asyncio.run(main()) == (outcome, 0, moved)
@@ -164,25 +170,28 @@
     [((), 1, 2), (("y",), 0, 1), (("x", "y"), 0, 0)],
     ids=["none", "some", "all"],
 )
-def test_an_instance_that_does_not_know_the_replicas_yet(known, lost, directly):
+def test_a_peer_that_does_not_know_the_replicas_yet(known, lost, directly):
     """
-    All instances start after a power loss. One is asked for parts before it has read of their
-    replicas; its "no replica" was taken for the last word, and the query failed although the
-    instance that asked knows the replicas.
+    All instances start after a power loss. A peer gets a batch before it has read of the replicas.
+    Its "no replica" was taken as final, and the query failed although the instance that handed the
+    batch over knew the replicas.
     """
-    here, there = _shards(["far-1"]), _shards(["far-2"])
-    knowing = {shard: there[shard] for shard in known}
+    own_replicas, peer_replicas = _shards(["far-1"]), _shards(["far-2"])
+    known_replicas = {shard: peer_replicas[shard] for shard in known}
 
     async def main():
-        sender = handing.make_sender(here)
-        async with handing.peer(handing.helper(knowing)) as sender.handover:
+        sender = handing.make_sender(own_replicas)
+        async with handing.peer(handing.peer_handler(known_replicas)) as sender.handover:
             call = handing.query_call(shards=("x", "y"), min_coverage=1.0)
-            ending = await answering.query_shards(sender, call)
+            result = await answering.query_shards(sender, call)
             await sender.tasks.close()
-        return ending.outcome, sender.counters.totals.get("handover.lost", 0)
+        return result.outcome, sender.counters.totals.get("handover.lost", 0)
 
     assert asyncio.run(main()) == ("answered", lost)
-    assert sum(len(each.requests) for shard in here.values() for each in shard.values()) == directly
+    assert (
+        sum(len(each.requests) for shard in own_replicas.values() for each in shard.values())
+        == directly
+    )
 
 
 @pytest.mark.parametrize(
@@ -198,17 +207,18 @@
 @pytest.mark.parametrize("request_id", [b"q1", b"q2", b"q3", b"q4"])
 def test_a_batch_that_is_run_twice_reaches_no_more_replicas_than_allowed(names, request_id):
     """
-    The first owner is slow, not dead. It passes over the replica of its data centre, which was slow
-    lately, and sends a part to two others. Taken for lost, the part goes to the second owner, which
-    sends it to the first replica: a third one where two are allowed.
+    The first owner is slow, not dead. It skips the replica in its own data centre, which is
+    ejected for slowness, and sends a part to two others. The batch counts as lost and goes to the
+    second owner. If that sent the part to the skipped replica, the part would reach a third one
+    where two are allowed.
     """
 
-    async def run(aside, again):
+    async def run(ejected, again):
         reset = client.ExchangeError("reset")
         replicas = {name: scripted.Scripted(reset) for name in names}
         sender = handing.make_sender({"x": replicas})
         now_s = asyncio.get_running_loop().time()
-        for replica in sender.replicas.of("x")[:aside]:
+        for replica in sender.replicas.of("x")[:ejected]:
             replica.ejected_until_s = now_s + 60
         batch = attrs.evolve(handing.BATCH, request_id=request_id, shards=("x",), again=again)
         body = handover_codec.encode_batch(batch)
@@ -219,7 +229,7 @@
         return [name for name, each in replicas.items() for _ in each.requests]
 
     async def main():
-        return await run(aside=1, again=False), await run(aside=0, again=True)
+        return await run(ejected=1, again=False), await run(ejected=0, again=True)
 
     first, second = asyncio.run(main())
     assert len(second) == 1
@@ -230,8 +240,8 @@
 @pytest.mark.parametrize("first", [[0.4, handing.part(1)], [client.ExchangeError("reset")]])
 def test_a_late_part_goes_to_the_better_of_the_other_replicas(first, number):
     """
-    Replicas of many shards turn slow, of some shards two of three. Half of all queries could reach
-    just these two, lacked the shard, and were late for want of coverage.
+    Replicas of many shards become slow, for some shards two of three. Half of all queries could
+    reach only these two, missed the shard, and were late because their coverage was too low.
     """
     replicas = {
         "far-1": scripted.Scripted(*first),
@@ -242,8 +252,8 @@
     async def main():
         sender = handing.make_sender({"x": replicas})
         now_s = asyncio.get_running_loop().time()
-        paces = (0.01, 9.0, 1.5)
-        for replica, pace in zip(sender.replicas.of("x"), paces, strict=True):
+        relative_latencies = (0.01, 9.0, 1.5)
+        for replica, pace in zip(sender.replicas.of("x"), relative_latencies, strict=True):
             replica.pace, replica.pace_at_s = pace, now_s
         batch = attrs.evolve(handing.BATCH, shards=("x",), again=False)
         body = handover_codec.encode_batch(batch)
@@ -257,7 +267,7 @@
     assert asyncio.run(main()) == [1, 0, 1]
 
 
-def test_an_instance_that_lost_batches_gets_no_more_for_a_while():
+def test_a_peer_that_lost_batches_gets_none_for_a_while():
     async def main():
         sender = handing.make_sender(handing.scripts())
         async with handing.peer(failing) as sender.handover:
@@ -269,26 +279,26 @@
     assert asyncio.run(main())["handover.sent"] == 2
 
 
-def test_a_caller_that_leaves_stops_the_helping_instance():
+def test_a_caller_that_disconnects_stops_the_peer():
     """
-    The caller leaves while another instance works on its batch. The connection between them closes,
-    and that instance closes its connections to the replicas.
+    The caller disconnects while a peer works on a batch. The connection to the peer is closed, and
+    the peer closes its connections to the replicas.
     """
-    elsewhere = handing.scripts()
-    elsewhere["x"]["far-1"].script = [30.0]
+    peer_replicas = handing.scripts()
+    peer_replicas["x"]["far-1"].script = [30.0]
 
     async def main():
         sender = handing.make_sender(handing.scripts())
-        async with handing.peer(handing.helper(elsewhere)) as sender.handover:
+        async with handing.peer(handing.peer_handler(peer_replicas)) as sender.handover:
             call = handing.query_call(min_coverage=1.0)
             task = asyncio.create_task(answering.query_shards(sender, call))
-            while not elsewhere["x"]["far-1"].requests:
+            while not peer_replicas["x"]["far-1"].requests:
                 await asyncio.sleep(0.005)
             task.cancel()
             call.abandon()
             await asyncio.gather(task, return_exceptions=True)
             async with asyncio.timeout(10):
-                while not elsewhere["x"]["far-1"].cancelled:
+                while not peer_replicas["x"]["far-1"].cancelled:
                     await asyncio.sleep(0.005)
 
     asyncio.run(main())
@@ -302,10 +312,11 @@
     ],
     ids=["lost", "refused"],
 )
-def test_attempts_after_a_batch(handler, first, reached, sent):
+def test_attempts_after_a_lost_or_refused_batch(handler, first, reached, sent):
     """
-    A batch is lost after the other instance may have sent its parts. Sent directly as often as
-    from the start, a part reaches more replicas than its route allows; a refused batch sent none.
+    A batch is lost after the peer may have sent its parts. If a part then got as many direct
+    attempts as a new one, it would reach more replicas than its route allows. A refused batch has
+    sent none, so its parts get all their attempts.
     """
 
     async def main():
@@ -326,17 +337,17 @@
     assert sum(requests) == sent
 
 
-def test_what_was_handed_over_is_told_with_the_instance_that_has_it():
-    """Missing parts that another instance had sent to replicas were told as not sent."""
+def test_missing_parts_of_a_batch_are_reported_with_their_peer():
+    """Missing parts that a peer had sent to replicas were reported as not sent."""
 
     async def main():
         sender = handing.make_sender(handing.scripts())
         async with handing.peer(handing.silent) as sender.handover:
             call = handing.query_call(goal_ms=60.0, deadline_ms=90.0)
-            ending = await answering.query_shards(sender, call)
+            result = await answering.query_shards(sender, call)
             call.abandon()
             await sender.tasks.close()
-        assert "x: not in time (handed to e-2" in ending.reason
+        assert "x: not in time (handed to e-2" in result.reason
         assert call.told("unknown", 0.0) == "not sent"
 
     asyncio.run(main())
@@ -344,18 +355,20 @@
 
 def test_a_batch_that_may_be_old_is_refused():
     """
-    An instance stands still with a batch in its socket, while the one that handed it over takes it
-    for lost and sends the parts itself. Run as well, they reach a third replica.
+    A peer stalls with a batch in its socket. The instance that handed it over counts the batch as
+    lost and sends the parts itself. If the peer ran them as well, they would reach a third replica.
     """
 
     async def main():
-        elsewhere = handing.scripts()
-        handle = helping.handler(handing.make_sender(elsewhere))
+        peer_replicas = handing.scripts()
+        handle = helping.handler(handing.make_sender(peer_replicas))
         body = handover_codec.encode_batch(handing.BATCH)
         request = messages.Request(b"POST", handover.PATH, (), body, 0.0, stalled_s=0.2)
         answer = await handle(request)
         assert answer.status == handover.REFUSED_STATUS
-        assert not any(each.requests for service in elsewhere.values() for each in service.values())
+        assert not any(
+            each.requests for service in peer_replicas.values() for each in service.values()
+        )
 
     asyncio.run(main())
 
@@ -363,10 +376,10 @@
 @pytest.mark.parametrize(
     ("replicas", "sent", "outcome"), [(2, 1, "answered"), (3, 0, "failed")], ids=["few", "many"]
 )
-def test_a_batch_that_was_begun_and_lost(replicas, sent, outcome):
+def test_a_batch_lost_after_it_was_begun(replicas, sent, outcome):
     """
-    An instance has begun a batch, has perhaps sent a part to two replicas, and is killed. A direct
-    send would reach a third one where two are allowed; with two replicas in all it can't.
+    A peer has begun a batch, may have sent a part to two replicas, and is killed. A direct send
+    could reach a third replica where two are allowed, unless the shard has only two.
     """
 
     async def dying(request):
@@ -382,9 +395,9 @@
         sender = handing.make_sender(scripts)
         async with handing.peer(dying) as sender.handover:
             call = handing.query_call(shards=("x", "y"), min_coverage=1.0, deadline_ms=500.0)
-            ending = await answering.query_shards(sender, call)
+            result = await answering.query_shards(sender, call)
             await sender.tasks.close()
-        assert ending.outcome == outcome
+        assert result.outcome == outcome
         return sum(len(script.requests) for script in scripts["x"].values())
 
     assert asyncio.run(main()) == sent
--- a/tests/direct/test_handover_codec.py
+++ b/tests/direct/test_handover_codec.py
@@ -1,4 +1,4 @@
-"""Messages about parts that are handed over."""
+"""Messages of handed-over batches."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 )
 
 
-def test_messages_survive_the_wire():
+def test_messages_are_decoded_as_they_were_encoded():
     assert handover_codec.decode_batch(handover_codec.encode_batch(handing.BATCH)) == handing.BATCH
     content = handover_codec.encode_answer(ANSWER, handing.BATCH.shards)
     assert handover_codec.decode_answer(content, handing.BATCH.shards) == ANSWER
 
 
 @pytest.mark.parametrize("content", [b"\x00", b"garbage" * 9, b"\xff" * 300])
-def test_damaged_messages_are_told(content):
+def test_damaged_messages_are_rejected(content):
     with pytest.raises(handover_codec.MessageError):
         handover_codec.decode_batch(content)
 
 
-def test_an_answer_with_unknown_shards_is_refused():
+def test_an_answer_with_unknown_shards_is_rejected():
     content = handover_codec.encode_answer(ANSWER, handing.BATCH.shards)
     with pytest.raises(handover_codec.MessageError):
         handover_codec.decode_answer(content, ("x",))
--- a/tests/direct/test_merge.py
+++ b/tests/direct/test_merge.py
@@ -1,4 +1,4 @@
-"""Merging parts."""
+"""Merging the parts of a query."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     ],
     ids=["none", "greatest", "equal ones count", "remainder", "empty part"],
 )
-def test_greatest(bodies, count, expected):
+def test_top_records(bodies, count, expected):
     assert merge.top_records(bodies, count) == b"".join(map(record, expected))
 
 
@@ -33,7 +33,7 @@
     strategies.lists(strategies.lists(strategies.binary(min_size=16, max_size=16))),
     strategies.integers(1, 20),
 )
-def test_greatest_is_the_head_of_the_sorted_whole(parts, count):
+def test_top_records_are_the_first_of_all_records_sorted(parts, count):
     found = merge.top_records([b"".join(part) for part in parts], count)
     everything = sorted((each for part in parts for each in part), reverse=True)
     assert found == b"".join(everything[:count])
--- a/tests/handing.py
+++ b/tests/handing.py
@@ -1,4 +1,4 @@
-"""Instances that hand parts to each other, over scripted replicas."""
+"""Fixtures for instances that hand over batches to each other, with scripted replicas."""
 
 from __future__ import annotations
 
@@ -49,15 +49,17 @@
     await asyncio.sleep(30)
 
 
-ALIVE = b"HTTP/1.1 102 Processing\r\n\r\n"
+INTERIM_RESPONSE = b"HTTP/1.1 102 Processing\r\n\r\n"
 
 
 @contextlib.asynccontextmanager
-async def peer(handler, interim=ALIVE, others=()):
+async def peer(handler, interim=INTERIM_RESPONSE, others=()):
     """
-    Run other instances of the data centre ``far``; yields the handover towards them.
+    Run peers in the data centre ``far`` and yield the handover to them.
 
-    :param others: handlers of further instances, which give a sign of life
+    :param handler: handler of the first peer
+    :param interim: interim response of the first peer; empty for none
+    :param others: handlers of further peers, which send an interim response
     """
     loop = asyncio.get_running_loop()
 
@@ -68,11 +70,11 @@
 
     peers = replicas_module.Replicas(make_pool, PLACE, budget.Allowance())
     async with contextlib.AsyncExitStack() as stack:
-        kinds = [(handler, interim), *((other, ALIVE) for other in others)]
-        for number, (each, sign) in enumerate(kinds, 2):
-            entrance = server.Server(each, messages.Limits, 10, interim=sign)
-            listener = await server.listen(entrance, "127.0.0.1", 0)
-            stack.callback(entrance.close)
+        kinds = [(handler, interim), *((other, INTERIM_RESPONSE) for other in others)]
+        for number, (each_handler, each_interim) in enumerate(kinds, 2):
+            peer_server = server.Server(each_handler, messages.Limits, 10, interim=each_interim)
+            listener = await server.listen(peer_server, "127.0.0.1", 0)
+            stack.callback(peer_server.close)
             stack.callback(listener.close)
             host, port = listener.sockets[0].getsockname()
             peers.put(routes.ReplicaEntry(f"e-{number}", "far", host, port, "far", 1, False, 0))
@@ -80,15 +82,15 @@
 
 
 def make_sender(scripts):
-    """Make a sender whose replicas are in the data centres that their names begin with."""
+    """Make a sender whose replicas are in the data centre named by the prefix of their name."""
     sender = scripted.make_sender(scripts)
-    fresh = replicas_module.Replicas(
+    replica_table = replicas_module.Replicas(
         sender.replicas._make_pool, PLACE, budget.Allowance(0.2, 100.0, 10.0)
     )
     for service, replicas in scripts.items():
         for name in replicas:
-            fresh.put(scripted.entry(name, service, data_centre=name.partition("-")[0]))
-    sender.replicas = fresh
+            replica_table.put(scripted.entry(name, service, data_centre=name.partition("-")[0]))
+    sender.replicas = replica_table
     return sender
 
 
@@ -107,8 +109,8 @@
     return scripted.make_call(**(values | changes))
 
 
-def helper(replicas):
-    """Return the handler of another instance with its own way to the replicas."""
+def peer_handler(replicas):
+    """Return the handler of a peer with its own sender to the replicas."""
     holder = {}
 
     async def handle(request):
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -53,11 +53,11 @@
         "direct/test_obtaining.py::test_after_a_run_that_may_have_begun_nothing_is_promised",
     ),
     mutant.one(
-        "pass-on-a-false-promise",
+        "forward-a-status-that-promises-not-run",
         "direct/answering.py",
         "    if sending.promises_not_run(status):\n",
         "    if not status:\n",
-        "direct/test_answering.py::test_single",
+        "direct/test_answering.py::test_request_service",
     ),
     mutant.one(
         "budget-for-each-instance",
@@ -148,7 +148,7 @@
         "direct/obtaining.py",
         "        effort.attempts = call.route.max_attempts - 1\n",
         "",
-        "direct/test_handover.py::test_attempts_after_a_batch",
+        "direct/test_handover.py::test_attempts_after_a_lost_or_refused_batch",
     ),
     mutant.one(
         "trust-a-stale-relay",
@@ -162,7 +162,7 @@
         "direct/sending.py",
         "                if progress.unwanted:\n                    return UNWANTED\n",
         "",
-        "direct/test_answering.py::test_what_is_not_written_when_the_query_is_answered_never_is",
+        "direct/test_answering.py::test_a_send_not_yet_written_is_dropped_when_the_query_is_answered",
     ),
     mutant.one(
         "any-replica-of-a-handed-part",
@@ -173,19 +173,18 @@
         "::test_a_batch_that_is_run_twice_reaches_no_more_replicas_than_allowed",
     ),
     mutant.one(
-        "lost-batch-stays-here",
+        "lost-batch-is-not-moved",
         "direct/handover.py",
-        "            if not came_back and self._moved(sender, call, handed):",
+        "            if not completed and self._move_to_other_owner(sender, call, pending):",
         "            if False:",
-        "direct/test_handover.py"
-        "::test_where_instances_are_many_a_lost_batch_goes_to_the_other_owner",
+        "direct/test_handover.py" "::test_with_many_instances_a_lost_batch_goes_to_the_other_owner",
     ),
     mutant.one(
         "unknown-replicas-answered",
         "entry/helping.py",
         "    if unknown > MOST_UNKNOWN_SHARE * len(batch.shards):",
         "    if False:",
-        "direct/test_handover.py::test_an_instance_that_does_not_know_the_replicas_yet",
+        "direct/test_handover.py::test_a_peer_that_does_not_know_the_replicas_yet",
     ),
     mutant.one(
         "followed-from-the-newest-page",
