--- a/src/turmericlug/direct/answering.py
+++ b/src/turmericlug/direct/answering.py
@@ -108,7 +108,7 @@
     Waits for all shards until shortly before the goal. From then on it answers as soon as enough
     shards have answered, and reports the number of missing shards.
     """
-    first_replicas = first_choices(sender, call)
+    first_replicas = choose_first_replicas(sender, call)
     if len(first_replicas) < min_parts(call):
         # Too few shards have a replica to reach the minimum coverage: nothing is sent.
         return refusal(sender, _no_replica_reason(sender, call, first_replicas))
@@ -172,7 +172,9 @@
     }
 
 
-def first_choices(sender: sender_module.Sender, call: sending.Call) -> peers_module.FirstChoices:
+def choose_first_replicas(
+    sender: sender_module.Sender, call: sending.Call
+) -> peers_module.FirstChoices:
     """Choose the best replica of each shard that has an available one."""
     now_s = asyncio.get_running_loop().time()
     first_replicas = {
@@ -266,7 +268,7 @@
         (sender.names.request_id, call.request_id),
         (b"content-type", b"application/octet-stream"),
     ]
-    body = merge.top_records(_record_sets(present), call.route.top_records)
+    body = merge.greatest_records(_record_sets(present), call.route.top_records)
     answer = messages.Answer(200, tuple(headers), body)
     if not missing:
         return Result(answer, "answered")
--- a/src/turmericlug/direct/merge.py
+++ b/src/turmericlug/direct/merge.py
@@ -9,7 +9,7 @@
 """Length of one record; a shorter remainder at the end of a part is ignored."""
 
 
-def top_records(bodies: abc.Iterable[bytes], count: int) -> bytes:
+def greatest_records(bodies: abc.Iterable[bytes], count: int) -> bytes:
     """
     Return the greatest records of all parts in descending order; duplicates are kept.
 
--- a/src/turmericlug/entry/helping.py
+++ b/src/turmericlug/entry/helping.py
@@ -186,5 +186,5 @@
         else:
             may_have_run = not isinstance(outcome, sending.NotRun)
             failures[shard] = handover_codec.Failure(sending.reason(outcome), may_have_run)
-    records = merge.top_records(bodies, batch.top_records)
+    records = merge.greatest_records(bodies, batch.top_records)
     return handover_codec.Answer(records, signatures, failures, spent_ms, first)
--- a/tests/direct/test_merge.py
+++ b/tests/direct/test_merge.py
@@ -25,7 +25,7 @@
     ids=["none", "greatest", "equal ones count", "remainder", "empty part"],
 )
 def test_top_records(bodies, count, expected):
-    assert merge.top_records(bodies, count) == b"".join(map(record, expected))
+    assert merge.greatest_records(bodies, count) == b"".join(map(record, expected))
 
 
 @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
@@ -34,6 +34,6 @@
     strategies.integers(1, 20),
 )
 def test_top_records_are_the_first_of_all_records_sorted(parts, count):
-    found = merge.top_records([b"".join(part) for part in parts], count)
+    found = merge.greatest_records([b"".join(part) for part in parts], count)
     everything = sorted((each for part in parts for each in part), reverse=True)
     assert found == b"".join(everything[:count])
--- a/tests/direct/test_peers.py
+++ b/tests/direct/test_peers.py
@@ -41,7 +41,9 @@
         async with handing.peer(handing.silent) as towards:
             now_s = asyncio.get_running_loop().time()
             call = handing.query_call()
-            found = towards.peers.plan(sender, call, answering.first_choices(sender, call), now_s)
+            found = towards.peers.plan(
+                sender, call, answering.choose_first_replicas(sender, call), now_s
+            )
             assert [handed.shards for handed in found] == batches
 
     asyncio.run(main())
@@ -86,7 +88,9 @@
         towards = handover.Handover(peers_module.Peers(peers, handing.PLACE))
         call = handing.query_call(shards=tuple(shards))
         now_s = asyncio.get_running_loop().time()
-        batches = towards.peers.plan(sender, call, answering.first_choices(sender, call), now_s)
+        batches = towards.peers.plan(
+            sender, call, answering.choose_first_replicas(sender, call), now_s
+        )
         assert sorted(shard for each in batches for shard in each.shards) == sorted(shards)
         for each in batches:
             for shard in each.shards:
