--- a/src/turmericlug/direct/answering.py
+++ b/src/turmericlug/direct/answering.py
@@ -128,7 +128,7 @@
     try:
         await _wait_for_enough(call, parts, answer_at_s)
     finally:
-        # Sends in flight complete on their own, so that their connections can be reused.
+        # Attempts in flight complete on their own, so that their connections can be reused.
         for part in parts.values():
             part.cancel()
         call.answered(timing.STUCK_AFTER_S)
@@ -307,7 +307,7 @@
     Refuse the query if no part can have run, else fail it.
 
     The failures of some parts can decide the query before the tasks of other parts have run to
-    their end. Whether those parts can have run follows from their sends.
+    their end. Whether those parts can have run follows from their attempts.
     """
     ended = {shard: part.result() for shard, part in parts.items() if _has_ended(part)}
     not_run = [each for each in ended.values() if isinstance(each, sending.NotRun)]
--- a/src/turmericlug/direct/handover.capnp
+++ b/src/turmericlug/direct/handover.capnp
@@ -1,6 +1,7 @@
 @0xb8f1d0c26a3e9547;
-# A batch of a query's parts that one instance hands over to a peer near their replicas, and the answers.
-# Times are in milliseconds. A deadline is sent as the time left, since instances don't share a clock.
+# A batch of a query's parts that one instance hands over to a peer near their replicas, and the
+# answers to it. Times are in milliseconds. A deadline is sent as the time left, since instances
+# don't share a clock.
 
 struct Header { name @0 :Data; value @1 :Data; }
 
@@ -22,7 +23,7 @@
   dataCentre @13 :Text;
   # Data centre of the peer. All instances there send a part to the same replicas.
   again @14 :Bool;
-  # Another instance there may have sent the parts before, which leaves one send each.
+  # Another instance there may have sent the parts, which leaves one attempt for each.
   bound @15 :Bool;
   regions @16 :List(Text);
   # If bound is set, the only regions whose replicas may get the parts.
--- a/src/turmericlug/direct/handover.py
+++ b/src/turmericlug/direct/handover.py
@@ -32,7 +32,7 @@
 INTERIM_TIMEOUT_FACTOR = 1.5
 INTERIM_TIMEOUT_SLACK_MS = 50.0
 """The interim response is overdue after 1.5 round trips and a few busy turns of the peer's event
-loop. A shorter timeout counts busy instances as lost; a longer one makes direct sends too late."""
+loop. Sooner, busy instances would count as lost; later, direct attempts would miss the goal."""
 RETURN_MARGIN_MS = 4.0
 """Time for an answer in addition to the round trip: one turn of the event loop at each end."""
 
@@ -169,7 +169,7 @@
         """
         Assign the open shards of a lost batch to their other owner; return false if there is none.
 
-        Direct sends would open a connection for each part, too many at once to meet the goal.
+        Direct attempts would open a connection for each part, too many at once to meet the goal.
         """
         if placement.everyone_sends(sender.instances()):
             return False
@@ -312,8 +312,8 @@
     """
     Return the outcome of one shard of a batch.
 
-    If the batch is lost, the part is sent directly. If a peer may have sent it already, it goes
-    only to a replica that the peer may have used.
+    If the batch is lost, the part is sent directly. If a peer may have sent it already, it gets
+    a single attempt, so that it reaches no more replicas than its route allows.
     """
     outcome = await asyncio.shield(pending.outcomes[shard])
     if isinstance(outcome, sending.AnsweredInBatch):
--- a/src/turmericlug/direct/handover_codec.py
+++ b/src/turmericlug/direct/handover_codec.py
@@ -36,7 +36,7 @@
     data_centre: str
     """Data centre of the peer. All instances there send a part to the same replicas."""
     again: bool = False
-    """Whether another instance there may have sent the parts before, which leaves one send each."""
+    """Whether another instance there may have sent the parts, which leaves one attempt for each."""
     regions: frozenset[str] | None = None
     """The only regions whose replicas may get the parts; ``None`` allows all."""
 
--- a/src/turmericlug/direct/trial.py
+++ b/src/turmericlug/direct/trial.py
@@ -51,7 +51,7 @@
         raise
     result = _result_after_trial(sender, call, outcome)
     if result is None:
-        # The query is sent to this shard a second time, which counts as an extra send.
+        # The query is sent to this shard a second time, which counts as an extra attempt.
         sender.replicas.extra_sends(shard).count_extra(asyncio.get_running_loop().time())
     return result
 
--- a/tests/direct/test_answering.py
+++ b/tests/direct/test_answering.py
@@ -100,9 +100,9 @@
 )
 def test_a_query_is_decided_before_the_task_of_its_last_part_has_run(last, handed_over, status):
     """
-    Every replica sheds load. The second refused part decides that the query fails. The sends of the
-    last part were refused as well, but its task has not run yet. In about one of a hundred runs the
-    caller got a failure instead of the refusal with ``Retry-After`` that was due.
+    Every replica sheds load. The second refused part decides that the query fails. The attempts of
+    the last part were refused as well, but its task has not run to its end yet. In one of some
+    hundred runs the caller got a failure instead of the refusal with ``Retry-After`` that was due.
     """
 
     async def main():
@@ -200,10 +200,10 @@
     assert result.outcome == "answered"
 
 
-def test_silent_sends_end_soon_after_the_query_is_answered(monkeypatch):
+def test_silent_attempts_end_soon_after_the_query_is_answered(monkeypatch):
     """
-    A connection is silent, and the query is answered without its part. If the send lasted until the
-    deadline, the connection would count as in use and its replica only as slow.
+    A connection is silent, and the query is answered without its part. If the attempt lasted until
+    the deadline, the connection would count as in use and its replica only as slow.
     """
     monkeypatch.setattr(answering.timing, "STUCK_AFTER_S", 0.15)
 
@@ -224,11 +224,11 @@
     assert asyncio.run(main()) == ("partial", 1)
 
 
-def test_a_send_not_yet_written_is_dropped_when_the_query_is_answered():
+def test_an_attempt_not_yet_written_is_dropped_when_the_query_is_answered():
     """
-    An instance that is cut off from its peers opens connections to replicas itself, which are not
-    open yet when its query must be answered. They opened half a second later; each part was then
-    written and ran with no one waiting for it, on a third replica where two are allowed. The
+    An instance that is cut off opens connections to replicas itself, which are not open yet when
+    its query must be answered. Half a second after the answer they were open, and each part was
+    written and ran although it was no longer needed, on a third replica where two are allowed. The
     connections are kept.
     """
 
--- a/tests/direct/test_handover.py
+++ b/tests/direct/test_handover.py
@@ -19,7 +19,7 @@
 
 
 def run_query(handler, min_coverage=1.0, **options):
-    """Answer a query at an instance with a peer; return the result, direct sends and counters."""
+    """Query at an instance with a peer; return the result, direct requests by replica, counters."""
 
     async def main():
         replicas = handing.scripts()
@@ -39,7 +39,7 @@
 
 
 def test_remote_parts_are_answered_merged():
-    """The answer is the same as with direct sends, and no remote replica gets a direct send."""
+    """The answer is the same as with direct attempts, and no remote replica gets one."""
     peer_replicas = handing.scripts()
     result, sent, _ = run_query(handing.peer_handler(peer_replicas))
     assert result.outcome == "answered"
@@ -136,7 +136,7 @@
     first, interim, replicas, moved, monkeypatch
 ):
     """
-    An owner of forty shards does not answer. Direct sends of their parts all need new connections:
+    An owner of forty shards does not answer. Direct attempts all need new connections:
     an instance with half a core opened sixty at once, none in time, and the query failed. The other
     owner of the shards has open connections. It sends a part that the first owner may have sent
     only to the same replica.
@@ -378,8 +378,8 @@
 )
 def test_a_batch_lost_after_it_was_begun(replicas, sent, outcome):
     """
-    A peer has begun a batch, may have sent a part to two replicas, and is killed. A direct send
-    could reach a third replica where two are allowed, unless the shard has only two.
+    A peer has begun a batch, may have sent a part to two replicas, and is killed. A direct
+    attempt could reach a third replica where two are allowed, unless the shard has only two.
     """
 
     async def dying(request):
--- a/tests/direct/test_merge.py
+++ b/tests/direct/test_merge.py
@@ -24,7 +24,7 @@
     ],
     ids=["none", "greatest", "equal ones count", "remainder", "empty part"],
 )
-def test_top_records(bodies, count, expected):
+def test_greatest_records(bodies, count, expected):
     assert merge.greatest_records(bodies, count) == b"".join(map(record, expected))
 
 
@@ -33,7 +33,7 @@
     strategies.lists(strategies.lists(strategies.binary(min_size=16, max_size=16))),
     strategies.integers(1, 20),
 )
-def test_top_records_are_the_first_of_all_records_sorted(parts, count):
+def test_greatest_records_are_the_first_of_all_records_sorted(parts, count):
     found = merge.greatest_records([b"".join(part) for part in parts], count)
     everything = sorted((each for part in parts for each in part), reverse=True)
     assert found == b"".join(everything[:count])
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -162,7 +162,7 @@
         "direct/sending.py",
         "                if progress.unwanted:\n                    return UNWANTED\n",
         "",
-        "direct/test_answering.py::test_a_send_not_yet_written_is_dropped_when_the_query_is_answered",
+        "direct/test_answering.py::test_an_attempt_not_yet_written_is_dropped_when_the_query_is_answered",
     ),
     mutant.one(
         "any-replica-of-a-handed-part",
@@ -177,7 +177,7 @@
         "direct/handover.py",
         "            if not completed and self._move_to_other_owner(sender, call, pending):",
         "            if False:",
-        "direct/test_handover.py" "::test_with_many_instances_a_lost_batch_goes_to_the_other_owner",
+        "direct/test_handover.py::test_with_many_instances_a_lost_batch_goes_to_the_other_owner",
     ),
     mutant.one(
         "unknown-replicas-answered",
