--- a/src/turmericlug/direct/answering.py
+++ b/src/turmericlug/direct/answering.py
@@ -140,7 +140,7 @@
     """Return the reason why most shards without a replica to take a part have none."""
     now_s = asyncio.get_running_loop().time()
     reasons = collections.Counter(
-        sender.replicas.why_none(shard, call.route, now_s)
+        sender.replicas.no_replica_reason(shard, call.route, now_s)
         for shard in call.route.shards
         if shard not in first
     )
--- a/src/turmericlug/direct/budget.py
+++ b/src/turmericlug/direct/budget.py
@@ -17,7 +17,7 @@
 SAFETY = 0.8
 """Part of the allowance that is used: windows of the instances and of the replicas differ by a
 round trip, and an instance that starts again forgets what it has used."""
-OWNERS_SHARE = 0.4
+OWNERS_SLACK_SHARE = 0.4
 """Part of a shard's slack for the instances that usually send to it. The rest is for those that
 make up for a lost owner, and left over where owners change: each new one begins to count anew."""
 _SLICES = 20
@@ -41,7 +41,7 @@
         self._requests: collections.Counter[int] = collections.Counter()
         self._extras: collections.Counter[int] = collections.Counter()
 
-    def allow(self, allowance: Allowance) -> None:
+    def set_allowance(self, allowance: Allowance) -> None:
         """Go by another ratio and slack from now on; the window stays as it is."""
         self._allowance = allowance
 
@@ -53,7 +53,7 @@
         """Take note of an extra send, allowed or not to be avoided."""
         self._extras[int(now_s / self._slice_s)] += 1
 
-    def spend(self, now_s: float, share: float) -> bool:
+    def try_spend(self, now_s: float, share: float) -> bool:
         """
         Send once more if that stays within this instance's part.
 
@@ -84,8 +84,8 @@
     if not owners:
         return 1 / max(instances, 1)
     if is_owner:
-        return OWNERS_SHARE / owners
-    return (1 - OWNERS_SHARE) / max(instances, 1)
+        return OWNERS_SLACK_SHARE / owners
+    return (1 - OWNERS_SLACK_SHARE) / max(instances, 1)
 
 
 def _recent(counts: collections.Counter[int], current: int) -> int:
--- a/src/turmericlug/direct/handover.py
+++ b/src/turmericlug/direct/handover.py
@@ -152,7 +152,7 @@
             return False
         finally:
             peer.sends.discard(send)
-        peer.succeeded(1.0, 1.0, loop.time())
+        peer.record_success(1.0, 1.0, loop.time())
         return True
 
     def _moved(self, sender: sender_module.Sender, call: sending.Call, handed: Handed) -> bool:
@@ -162,7 +162,7 @@
         An instance that sends the parts by itself instead opens a connection for each, too many at
         once to be in time.
         """
-        if placement.everyone_sends(sender.instances()):
+        if placement.all_send_directly(sender.instances()):
             return False
         left = handed.left
         if not left:
@@ -215,7 +215,7 @@
                     answer = handover_codec.decode_answer(chunk, handed.shards)
                     if answer.first:
                         duration_ms = (loop.time() - now_s) * 1000
-                        self.peers.learn(data_centre, duration_ms - answer.spent_ms)
+                        self.peers.record_round_trip(data_centre, duration_ms - answer.spent_ms)
                         sender.counters.time_ms("handover.total_ms", duration_ms)
                         # The rest are stragglers, which the peer waits for as long as the caller.
                         limit.reschedule(call.deadline_s)
@@ -245,7 +245,7 @@
         began_s: float,
     ) -> None:
         now_s = asyncio.get_running_loop().time()
-        set_aside = handed.peer.failed(now_s)
+        set_aside = handed.peer.record_failure(now_s)
         sender.counters.add("handover.lost")
         decisions.log(
             "handover.lost",
@@ -312,4 +312,4 @@
 
 def _has_few_replicas(sender: sender_module.Sender, call: sending.Call, shard: str) -> bool:
     """Whether a shard has so few replicas that no send can reach too many."""
-    return len(sender.replicas.open_to(shard, call.route)) <= call.route.max_attempts
+    return len(sender.replicas.eligible(shard, call.route)) <= call.route.max_attempts
--- a/src/turmericlug/direct/obtaining.py
+++ b/src/turmericlug/direct/obtaining.py
@@ -109,7 +109,7 @@
     if handed_to:
         effort.common = sender.replicas.common(service, call.route, call.request_id, handed_to)
     if not again:
-        sender.replicas.extra_sends(service).count_request(loop.time())
+        sender.replicas.retry_budget(service).count_request(loop.time())
     elif call.route.max_attempts < 2 or not sender.may_send_again(service, loop.time()):
         sender.counters.add("direct.repeat_denied.budget")
         return sending.Unknown("budget")
@@ -187,7 +187,7 @@
     if call.answer_at_s is None:
         return late_ms
     left_ms = (call.answer_at_s - pending.began_s) * 1000
-    second_ms = replicas.slowest_usual_ms(effort.service, call.route)
+    second_ms = replicas.max_median_ms(effort.service, call.route)
     return timing.hedge_by_ms(late_ms, left_ms, second_ms)
 
 
@@ -346,7 +346,7 @@
     if replica is not None:
         _send_to(effort, replica, now_s)
         return
-    reason = effort.sender.replicas.why_none(effort.service, effort.call.route, now_s)
+    reason = effort.sender.replicas.no_replica_reason(effort.service, effort.call.route, now_s)
     if isinstance(effort.failure, sending.NotRun):
         effort.failure = sending.NotRun(reason, sent=False)
 
@@ -375,7 +375,7 @@
         replica.cold_sent_s = now_s
     call.asked.setdefault(effort.service, []).append(send)
     task = sender.tasks.start(tracking.tracked(sender, call, replica, send))
-    near = sender.replicas.is_near(replica.entry.data_centre)
+    near = sender.replicas.in_own_region(replica.entry.data_centre)
     sender.counters.add("direct.sent.near" if near else "direct.sent.far")
     call.sends.add(task)
     task.add_done_callback(call.sends.discard)
--- a/src/turmericlug/direct/peers.py
+++ b/src/turmericlug/direct/peers.py
@@ -60,7 +60,7 @@
         """Return the recent round trip to the instances of a data centre."""
         return self._round_trips_ms.get(data_centre, ROUND_TRIP_GUESS_MS)
 
-    def forget_owners(self) -> None:
+    def clear_owner_cache(self) -> None:
         """Work out anew who owns what: instances have come or gone."""
         self._owners.clear()
         self._usual.clear()
@@ -87,27 +87,27 @@
         own = self._place.name
         phase = warm_up.phase_of(own, entry.instance)
         instances = sender.instances()
-        if placement.everyone_sends(instances) or not sender.is_shard(entry.service):
+        if placement.all_send_directly(instances) or not sender.is_shard(entry.service):
             return warm_up.Share(rate_per_s, instances, phase)
         owners = self.owners(entry.data_centre, entry.service)
         return warm_up.Share(rate_per_s, len(owners) if own in owners else 0, phase)
 
-    def sends_from_here(self, sender: sender_module.Sender, shard: str) -> bool:
+    def sends_directly(self, sender: sender_module.Sender, shard: str) -> bool:
         """Whether this instance is to send to a shard's replicas in its own data centre."""
-        if placement.everyone_sends(sender.instances()):
+        if placement.all_send_directly(sender.instances()):
             return True
         return self._place.name in self.owners(self._place.data_centre, shard)
 
     def slack_share(self, sender: sender_module.Sender, service: str) -> float:
         """Return this instance's part of the extra sends that a service may get."""
         instances = sender.instances()
-        if placement.everyone_sends(instances) or not sender.is_shard(service):
+        if placement.all_send_directly(instances) or not sender.is_shard(service):
             return budget.slack_share(instances, owners=0, is_owner=False)
         data_centres = {each.entry.data_centre for each in sender.replicas.of(service)}
         owners = [name for each in data_centres for name in self.owners(each, service)]
         return budget.slack_share(instances, len(owners), self._place.name in owners)
 
-    def learn(self, data_centre: str, round_trip_ms: float) -> None:
+    def record_round_trip(self, data_centre: str, round_trip_ms: float) -> None:
         """Take note of a round trip to an instance of a data centre."""
         known_ms = self.round_trip_ms(data_centre)
         self._round_trips_ms[data_centre] = known_ms + ROUND_TRIP_GAIN * (
@@ -119,7 +119,7 @@
     ) -> list[Group]:
         """Group the shards that others should send to by the instance that is to do it."""
         by_place = self._places(sender, call.route, first, now_s)
-        shared = not placement.everyone_sends(sender.instances())
+        shared = not placement.all_send_directly(sender.instances())
         groups: list[Group] = []
         for data_centre, shards in by_place.items():
             if shared:
@@ -150,12 +150,12 @@
         open_choice: dict[str, set[str]] = {}
         for shard, best in first.items():
             distance = self._place.distance(best.entry.data_centre)
-            if distance == placement.HERE:
+            if distance == placement.SAME_DATA_CENTRE:
                 places.setdefault(best.entry.data_centre, []).append(shard)
                 continue
             open_choice[shard] = {best.entry.data_centre} | {
                 each.entry.data_centre
-                for each in sender.replicas.open_to(shard, route)
+                for each in sender.replicas.eligible(shard, route)
                 if self._place.distance(each.entry.data_centre) == distance
                 and not (each.set_aside(now_s) or each.overdue(now_s))
             }
@@ -235,5 +235,5 @@
             try:
                 await peer.pool.warm()
             except client.ConnectError as error:
-                peer.failed(now_s)
+                peer.record_failure(now_s)
                 decisions.log("handover.not_connected", peer=peer.entry.instance, reason=str(error))
--- a/src/turmericlug/direct/placement.py
+++ b/src/turmericlug/direct/placement.py
@@ -17,8 +17,8 @@
 
 import attrs
 
-HERE, SAME_REGION, ELSEWHERE = 0, 1, 2
-SENDERS = 12
+SAME_DATA_CENTRE, SAME_REGION, OTHER_REGION = 0, 1, 2
+MAX_DIRECT_SENDERS = 12
 """Instances that may send to one replica: with at least 26 connections each has two of its own."""
 OWNERS = 2
 """One that is lost or slow leaves the other."""
@@ -44,20 +44,20 @@
     """Region of each data centre."""
 
     def distance(self, data_centre: str) -> int:
-        """Return ``HERE``, ``SAME_REGION`` or ``ELSEWHERE``."""
+        """Return ``SAME_DATA_CENTRE``, ``SAME_REGION`` or ``OTHER_REGION``."""
         if data_centre == self.data_centre:
-            return HERE
+            return SAME_DATA_CENTRE
         own = self.regions.get(self.data_centre)
-        return SAME_REGION if self.regions.get(data_centre) == own else ELSEWHERE
+        return SAME_REGION if self.regions.get(data_centre) == own else OTHER_REGION
 
     def allows(self, regions: frozenset[str] | None, data_centre: str) -> bool:
         """Whether a data centre lies in one of some regions; ``None``: any will do."""
         return regions is None or self.regions.get(data_centre) in regions
 
 
-def everyone_sends(instances: int) -> bool:
+def all_send_directly(instances: int) -> bool:
     """Whether instances are so few that each may send to every replica."""
-    return instances <= SENDERS
+    return instances <= MAX_DIRECT_SENDERS
 
 
 def groups_count(instances: int) -> int:
--- a/src/turmericlug/direct/pool.py
+++ b/src/turmericlug/direct/pool.py
@@ -31,7 +31,7 @@
 _numbers = itertools.count()
 
 
-def connections_limit(most: int, instances: int) -> int:
+def connection_limit(most: int, instances: int) -> int:
     """
     Return how many connections one instance may keep to one replica.
 
@@ -42,7 +42,7 @@
 
 
 @attrs.define
-class StatedIdle:
+class KeepAliveTimeout:
     """
     The shortest time for which a replica of a service has said that it keeps an idle connection.
 
@@ -68,8 +68,8 @@
     connect: Connect
     limit: abc.Callable[[], int]
     now_s: abc.Callable[[], float]
-    spare_idle_s: float = SPARE_IDLE_S
-    stated_idle: StatedIdle = attrs.field(factory=StatedIdle)
+    spare_idle_timeout_s: float = SPARE_IDLE_S
+    keep_alive: KeepAliveTimeout = attrs.field(factory=KeepAliveTimeout)
     """Shared by the replicas of a service."""
     closed: bool = False
     """Whether the replica is gone: nothing is lent any more."""
@@ -178,7 +178,7 @@
         else:
             if used:
                 connection.idle_since_s = self.now_s()
-                self.stated_idle.learn(connection.keep_idle_s)
+                self.keep_alive.learn(connection.keep_idle_s)
             self._idle.append(connection)
         self._wake()
 
@@ -215,7 +215,7 @@
         """Close what is idle for longer than it is trusted, and spare ones sooner."""
         for connection in list(self._idle):
             age_s = self.now_s() - connection.idle_since_s
-            spare = self.open_count > 1 and age_s > self.spare_idle_s
+            spare = self.open_count > 1 and age_s > self.spare_idle_timeout_s
             if connection.closed or spare or age_s > self._trusted_s(connection):
                 self._idle.remove(connection)
                 self._drop(connection)
@@ -236,5 +236,5 @@
     def _trusted_s(self, connection: client.Connection) -> float:
         stated_s = connection.keep_idle_s
         if stated_s is None:
-            stated_s = self.stated_idle.idle_s
+            stated_s = self.keep_alive.idle_s
         return IDLE_S if stated_s is None else min(stated_s * IDLE_SHARE, 60.0)
--- a/src/turmericlug/direct/replicas.py
+++ b/src/turmericlug/direct/replicas.py
@@ -53,7 +53,7 @@
         self._recent.add(duration_ms)
 
     @property
-    def usual_ms(self) -> float:
+    def median_ms(self) -> float:
         """The usual duration, or a guess before there are enough."""
         return self._recent.percentile_ms(50) or self._guess_ms
 
@@ -112,7 +112,7 @@
 
     def connections(self) -> dict[str, int]:
         """Count the connections that are open, and those opened to the replicas there are."""
-        pools = [(each.pool, self.is_near(each.entry.data_centre)) for each in self.all()]
+        pools = [(each.pool, self.in_own_region(each.entry.data_centre)) for each in self.all()]
         return {
             "open": sum(pool.open_count for pool, _ in pools),
             "opened_near": sum(pool.opened for pool, near in pools if near),
@@ -149,13 +149,13 @@
             return False
         if known is None:
             replica = replica_module.Replica(entry, self._make_pool(entry), leaving=entry.draining)
-            replica.turns_cold(entry.warmup_left_ms, now_s)
+            replica.record_cold(entry.warmup_left_ms, now_s)
             self._by_instance[entry.instance] = replica
             self._by_service[entry.service][entry.instance] = replica
             return True
         changed = known.leaving != entry.draining
         if entry.warmup_left_ms != known.entry.warmup_left_ms:
-            known.turns_cold(entry.warmup_left_ms, now_s)
+            known.record_cold(entry.warmup_left_ms, now_s)
         known.entry = entry
         known.leaving = entry.draining
         if entry.draining:
@@ -188,7 +188,7 @@
     def _worth_warming(
         self, replicas: abc.Collection[replica_module.Replica], far: bool
     ) -> list[replica_module.Replica]:
-        near = [each for each in replicas if self.is_near(each.entry.data_centre)]
+        near = [each for each in replicas if self.in_own_region(each.entry.data_centre)]
         if not (near and far):
             return near
         return [each for each in replicas if each in near or each.pool.limit() > 1]
@@ -197,7 +197,7 @@
         try:
             await replica.pool.warm()
         except client.ConnectError as error:
-            replica.failed(now_s)
+            replica.record_failure(now_s)
             decisions.log(
                 "replica.not_connected",
                 replica=replica.entry.instance,
@@ -220,7 +220,7 @@
     def _is_open(self, replica: replica_module.Replica) -> bool:
         return not replica.leaving and replica.entry.data_centre not in self.evacuated
 
-    def open_to(self, service: str, route: routes.Route) -> list[replica_module.Replica]:
+    def eligible(self, service: str, route: routes.Route) -> list[replica_module.Replica]:
         """Return the replicas of a service that may get a request of a route."""
         return [
             each
@@ -234,13 +234,13 @@
 
         Empty where replicas are so few that no send can reach too many.
         """
-        replicas = self.open_to(service, route)
+        replicas = self.eligible(service, route)
         if len(replicas) <= route.max_attempts:
             return ""
         places = {each.entry.instance: each.entry.data_centre for each in replicas}
         return placement.common_replica(request_id, places, data_centre)
 
-    def why_none(self, service: str, route: routes.Route, now_s: float) -> str:
+    def no_replica_reason(self, service: str, route: routes.Route, now_s: float) -> str:
         """Return why a request can be sent to no replica of a service, as a reason."""
         known = self._by_service.get(service, {}).values()
         allowed = [
@@ -251,7 +251,7 @@
         staying = [each for each in allowed if not each.leaving]
         if staying and not any(map(self._is_open, staying)):
             return EVACUATED
-        if any(not self.may_take(each, now_s) for each in self.open_to(service, route)):
+        if any(not self.may_take(each, now_s) for each in self.eligible(service, route)):
             return COLD
         return NO_REPLICA
 
@@ -277,25 +277,25 @@
         """Return the instances of all replicas."""
         return set(self._by_instance)
 
-    def times(self, route: str, data_centre: str) -> Times:
+    def latencies(self, route: str, data_centre: str) -> Times:
         """Return the recent times of a route's sends to a data centre."""
         key = (route, data_centre)
         if key not in self._times:
-            near = self.is_near(data_centre)
+            near = self.in_own_region(data_centre)
             self._times[key] = Times(LOCAL_GUESS_MS if near else REMOTE_GUESS_MS)
         return self._times[key]
 
-    def is_near(self, data_centre: str) -> bool:
+    def in_own_region(self, data_centre: str) -> bool:
         """Whether a data centre is in this instance's region."""
-        return self._place.distance(data_centre) < placement.ELSEWHERE
+        return self._place.distance(data_centre) < placement.OTHER_REGION
 
-    def allow(self, allowance: budget.Allowance) -> None:
+    def set_allowance(self, allowance: budget.Allowance) -> None:
         """Go by another allowance of extra sends, for all services."""
         self._allowance = allowance
         for each in self._budgets.values():
-            each.allow(allowance)
+            each.set_allowance(allowance)
 
-    def extra_sends(self, service: str) -> budget.ExtraSends:
+    def retry_budget(self, service: str) -> budget.ExtraSends:
         """Return the budget of a service."""
         if service not in self._budgets:
             self._budgets[service] = budget.ExtraSends(self._allowance)
@@ -318,8 +318,8 @@
         """
         candidates = [
             each
-            for each in self.open_to(service, route)
-            if not each.elsewhere(now_s) and each not in tried and self.may_take(each, now_s)
+            for each in self.eligible(service, route)
+            if not each.is_misdirected(now_s) and each not in tried and self.may_take(each, now_s)
         ]
         sound = [each for each in candidates if not each.set_aside(now_s)]
         return min(
@@ -332,11 +332,11 @@
         self, replica: replica_module.Replica, route: routes.Route, now_s: float
     ) -> float:
         """Estimate how long a replica takes for one more request."""
-        usual_ms = self.times(route.name, replica.entry.data_centre).usual_ms
+        usual_ms = self.latencies(route.name, replica.entry.data_centre).median_ms
         load = 1 + LOAD_FACTOR * (len(replica.sends) + replica.pool.waiting)
-        expected_ms = usual_ms * replica.current_pace(now_s) * load
+        expected_ms = usual_ms * replica.current_relative_latency(now_s) * load
         expected_ms *= DISTANCE_FACTORS[self._place.distance(replica.entry.data_centre)]
-        expected_ms *= 1 + TROUBLE_FACTOR * replica.trouble
+        expected_ms *= 1 + TROUBLE_FACTOR * replica.failure_rate
         expected_ms *= 1 + SHED_FACTOR * replica.current_shed_share(now_s)
         if not replica.pool.has_idle:
             expected_ms += CONNECT_SHARE * usual_ms
@@ -344,17 +344,17 @@
             expected_ms *= OVERDUE_FACTOR
         return expected_ms
 
-    def slowest_usual_ms(self, service: str, route: routes.Route) -> float:
+    def max_median_ms(self, service: str, route: routes.Route) -> float:
         """Return the usual time of the farthest replica of a service."""
         return max(
             (
-                self.times(route.name, each.entry.data_centre).usual_ms
-                for each in self.open_to(service, route)
+                self.latencies(route.name, each.entry.data_centre).median_ms
+                for each in self.eligible(service, route)
             ),
             default=0.0,
         )
 
     def hedge_after_ms(self, replica: replica_module.Replica, route: routes.Route) -> float:
         """Return the age at which a send to this replica counts as late."""
-        slow_ms = self.times(route.name, replica.entry.data_centre).slow_ms
+        slow_ms = self.latencies(route.name, replica.entry.data_centre).slow_ms
         return timing.hedge_after_ms(slow_ms, route.goal_ms)
--- a/src/turmericlug/direct/routes.py
+++ b/src/turmericlug/direct/routes.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class Share:
+class WeightedService:
     """One service of a route with the weight at which it takes the route's requests."""
 
     service: str
@@ -36,7 +36,7 @@
     """0 goes first."""
     max_attempts: int
     """Replicas that one request may be sent to; of a query over shards, for each shard."""
-    services: tuple[Share, ...] = ()
+    services: tuple[WeightedService, ...] = ()
     """One of them answers; empty for a query over shards."""
     shards: tuple[str, ...] = ()
     """Services that all hold a part of the answer."""
@@ -45,7 +45,7 @@
     regions: frozenset[str] | None = None
     """The only regions whose replicas and instances may get its requests; ``None``: any."""
 
-    def bound_to(self, regions: frozenset[str] | None) -> Route:
+    def restricted_to(self, regions: frozenset[str] | None) -> Route:
         """Return this route where others may bind its requests to regions as well."""
         if regions is None:
             return self
--- a/src/turmericlug/direct/sender.py
+++ b/src/turmericlug/direct/sender.py
@@ -58,7 +58,7 @@
             share = self.handover.peers.slack_share(self, service)
         else:
             share = budget.slack_share(self.instances(), owners=0, is_owner=False)
-        return self.replicas.extra_sends(service).spend(now_s, share)
+        return self.replicas.retry_budget(service).try_spend(now_s, share)
 
 
 def _quarantine(counters: counters_module.Counters) -> quarantine_module.Quarantine:
--- a/src/turmericlug/direct/sending.py
+++ b/src/turmericlug/direct/sending.py
@@ -257,7 +257,7 @@
     """
     loop = asyncio.get_running_loop()
     try:
-        async with asyncio.timeout_at(call.deadline_s) as progress.limit:
+        async with asyncio.timeout_at(call.deadline_s) as progress.timeout:
             fresh = not call.route.idempotent
             async with replica.pool.connection(call.route.priority, fresh) as connection:
                 if progress.unwanted:
--- a/src/turmericlug/direct/tracking.py
+++ b/src/turmericlug/direct/tracking.py
@@ -50,8 +50,8 @@
     if isinstance(outcome, sending.Answered | sending.Failed):
         sender.quarantine.answered(call)
     if isinstance(outcome, sending.Answered):
-        times = sender.replicas.times(call.route.name, replica.entry.data_centre)
-        replica.succeeded(duration_ms, times.usual_ms, now_s)
+        times = sender.replicas.latencies(call.route.name, replica.entry.data_centre)
+        replica.record_success(duration_ms, times.median_ms, now_s)
         times.add(duration_ms)
         sender.counters.time_ms("direct.send_ms", duration_ms)
         return
@@ -68,13 +68,13 @@
             others=len(replica.sends) - 1,
         )
     if isinstance(outcome, sending.NotRun) and outcome.reason == sending.MISDIRECTED:
-        replica.misdirected(now_s)
+        replica.record_misdirected(now_s)
         set_aside = True
     elif isinstance(outcome, sending.NotRun) and outcome.sent:
-        replica.has_shed(now_s)
+        replica.record_shed(now_s)
         set_aside = True
     else:
-        set_aside = replica.failed(now_s)
+        set_aside = replica.record_failure(now_s)
     decisions.log(
         "send.failed",
         request=call.request_id,
--- a/src/turmericlug/direct/trial.py
+++ b/src/turmericlug/direct/trial.py
@@ -51,7 +51,7 @@
     ending = _after(sender, call, outcome)
     if ending is None:
         # The query goes to this shard once more.
-        sender.replicas.extra_sends(shard).count_extra(asyncio.get_running_loop().time())
+        sender.replicas.retry_budget(shard).count_extra(asyncio.get_running_loop().time())
     return ending
 
 
--- a/src/turmericlug/entry/callers.py
+++ b/src/turmericlug/entry/callers.py
@@ -43,7 +43,7 @@
 class Spread:
     """Spreads the requests of a route over its services so that each gets its weight's share."""
 
-    _counts: dict[tuple[routes.Share, ...], list[float]] = attrs.field(factory=dict)
+    _counts: dict[tuple[routes.WeightedService, ...], list[float]] = attrs.field(factory=dict)
 
     def pick(self, route: routes.Route, rng: random.Random) -> str:
         """
@@ -104,7 +104,7 @@
         route = configuration.match(host, path)
         if route is None:
             return self._no_route(request, configuration, host, path)
-        route = route.bound_to(self._key_regions(request, configuration))
+        route = route.restricted_to(self._key_regions(request, configuration))
         call = self._call(request, request_id, target, route, configuration.version)
         if self._may_be_cut_off(call):
             return attrs.evolve(self._refused(request, "leaving"), close=True)
--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -152,14 +152,16 @@
     loop = asyncio.get_running_loop()
     settings, counters = kernel.find("settings"), kernel.find("counters")
 
-    stated_idle: dict[str, pool_module.StatedIdle] = collections.defaultdict(pool_module.StatedIdle)
+    stated_idle: dict[str, pool_module.KeepAliveTimeout] = collections.defaultdict(
+        pool_module.KeepAliveTimeout
+    )
 
     def limit(entry: routes.ReplicaEntry) -> int:
         configuration = view.configuration
         service = configuration.services.get(entry.service) if configuration else None
         most = service.max_connections if service else entry.slots
-        senders = min(view.instances_count(), placement.SENDERS)
-        return pool_module.connections_limit(most, senders)
+        senders = min(view.instances_count(), placement.MAX_DIRECT_SENDERS)
+        return pool_module.connection_limit(most, senders)
 
     def unasked(entry: routes.ReplicaEntry) -> None:
         counters.add("direct.unasked_bytes")
@@ -176,13 +178,13 @@
             connect,
             functools.partial(limit, entry),
             loop.time,
-            stated_idle=stated_idle[entry.service],
+            keep_alive=stated_idle[entry.service],
         )
 
     def make_peer_pool(entry: routes.ReplicaEntry) -> pool_module.Pool:
         connect = functools.partial(client.connect, entry.host, entry.port)
         return pool_module.Pool(
-            connect, lambda: PEER_CONNECTIONS, loop.time, spare_idle_s=questions.PEER_IDLE_S
+            connect, lambda: PEER_CONNECTIONS, loop.time, spare_idle_timeout_s=questions.PEER_IDLE_S
         )
 
     live = kernel.find("live settings")
@@ -270,11 +272,11 @@
     sender.quarantine.enabled = bool(live.policy.quarantine)
 
     def on_policy(policy: settings_module.Policy) -> None:
-        view.replicas.allow(_allowance(policy))
+        view.replicas.set_allowance(_allowance(policy))
         sender.quarantine.enabled = bool(policy.quarantine)
 
     live.on_policy = on_policy
-    view.on_instances = peers.forget_owners
+    view.on_instances = peers.clear_owner_cache
     view.replicas.on_lost = sender.quarantine.lost
     kernel.provide("sender", sender)
     teller = suspects.Teller(
@@ -304,10 +306,10 @@
     loop = asyncio.get_running_loop()
     peers = sender.handover.peers
     while True:
-        few = placement.everyone_sends(sender.instances())
+        few = placement.all_send_directly(sender.instances())
         await peers.warm(shared=not few)
         await sender.replicas.warm(
-            loop.time(), lambda service: peers.sends_from_here(sender, service), far=few
+            loop.time(), lambda service: peers.sends_directly(sender, service), far=few
         )
         await asyncio.sleep(WARM_EVERY_S)
 
--- a/src/turmericlug/entry/follower.py
+++ b/src/turmericlug/entry/follower.py
@@ -85,7 +85,7 @@
             view.take_changes(changes)
             journal.add(changes)
             position = max(changes.position, position)
-            many = not placement.everyone_sends(view.instances_count())
+            many = not placement.all_send_directly(view.instances_count())
             await asyncio.sleep(PAUSE_MANY_S if many else PAUSE_S)
         except news.HistoryLostError:
             if position is not None:
--- a/src/turmericlug/platform/decode.py
+++ b/src/turmericlug/platform/decode.py
@@ -140,12 +140,13 @@
     )
 
 
-def _shares(item: Plain) -> tuple[routes.Share, ...]:
+def _shares(item: Plain) -> tuple[routes.WeightedService, ...]:
     if item.get("TrafficSplit"):
         return tuple(
-            routes.Share(part["Service"], float(part["Weight"])) for part in item["TrafficSplit"]
+            routes.WeightedService(part["Service"], float(part["Weight"]))
+            for part in item["TrafficSplit"]
         )
-    return (routes.Share(item["Service"], 1.0),) if item.get("Service") else ()
+    return (routes.WeightedService(item["Service"], 1.0),) if item.get("Service") else ()
 
 
 def _limits(item: Plain) -> messages.Limits:
--- a/tests/direct/test_budget.py
+++ b/tests/direct/test_budget.py
@@ -19,7 +19,7 @@
     sends = budget.ExtraSends(ALLOWANCE)
     for _ in range(requests):
         sends.count_request(100.0)
-    spent = sum(sends.spend(100.0, 1 / instances) for _ in range(200))
+    spent = sum(sends.try_spend(100.0, 1 / instances) for _ in range(200))
     assert spent == allowed
 
 
@@ -43,7 +43,7 @@
         for share in shares:
             share.count_request(now_s)
             requests.append(now_s)
-            extras += [now_s for _ in range(wanted) if share.spend(now_s, 1 / instances)]
+            extras += [now_s for _ in range(wanted) if share.try_spend(now_s, 1 / instances)]
     for end_s in extras:
         in_window = sum(end_s - 10.0 < each <= end_s for each in extras)
         asked = sum(end_s - 10.5 < each <= end_s for each in requests)
@@ -70,7 +70,7 @@
     for wanted, pause_s in steps:
         now_s += pause_s
         for each, share in zip(sends, shares, strict=True):
-            extras += [now_s for _ in range(wanted) if each.spend(now_s, share)]
+            extras += [now_s for _ in range(wanted) if each.try_spend(now_s, share)]
     for end_s in extras:
         assert sum(end_s - 10.0 < each <= end_s for each in extras) <= allowance.slack
 
@@ -90,7 +90,7 @@
         owner.count_request(now_s)
         if number % 3 == 0:
             late += 1
-            allowed += owner.spend(now_s, share)
+            allowed += owner.try_spend(now_s, share)
     assert allowed == late
 
 
@@ -104,6 +104,6 @@
 )
 def test_another_allowance_counts_what_was_spent(ratio, slack, more):
     sends = budget.ExtraSends(ALLOWANCE)
-    assert sum(sends.spend(100.0, 1) for _ in range(200)) == 40
-    sends.allow(budget.Allowance(ratio, slack, 10.0))
-    assert sum(sends.spend(100.0, 1) for _ in range(200)) == more
+    assert sum(sends.try_spend(100.0, 1) for _ in range(200)) == 40
+    sends.set_allowance(budget.Allowance(ratio, slack, 10.0))
+    assert sum(sends.try_spend(100.0, 1) for _ in range(200)) == more
--- a/tests/direct/test_handover.py
+++ b/tests/direct/test_handover.py
@@ -244,7 +244,7 @@
         now_s = asyncio.get_running_loop().time()
         paces = (0.01, 9.0, 1.5)
         for replica, pace in zip(sender.replicas.of("x"), paces, strict=True):
-            replica.pace, replica.pace_at_s = pace, now_s
+            replica.relative_latency, replica.relative_latency_at_s = pace, now_s
         batch = attrs.evolve(handing.BATCH, shards=("x",), again=False)
         body = handover_codec.encode_batch(batch)
         request = messages.Request(b"POST", handover.PATH, (), body, now_s)
--- a/tests/direct/test_obtaining.py
+++ b/tests/direct/test_obtaining.py
@@ -263,7 +263,7 @@
     ("age_s", "sent"),
     [
         pytest.param(1.0, 1, id="soon after"),
-        pytest.param(replica_module.MISDIRECTED_S + 1, 2, id="long after"),
+        pytest.param(replica_module.MISDIRECTED_PAUSE_S + 1, 2, id="long after"),
     ],
 )
 def test_an_address_that_is_anothers_gets_nothing_more(age_s, sent):
@@ -278,7 +278,7 @@
         sender = scripted.make_sender({"s": {"a": ended}})
         first = await obtaining.obtain(sender, scripted.make_call(), "s")
         (replica,) = sender.replicas.all()
-        replica.elsewhere_until_s -= age_s
+        replica.misdirected_until_s -= age_s
         second = await obtaining.obtain(sender, scripted.make_call(), "s")
         await sender.tasks.close()
         return first, second, len(ended.requests)
--- a/tests/direct/test_placement.py
+++ b/tests/direct/test_placement.py
@@ -15,8 +15,8 @@
 
 @pytest.mark.parametrize(
     ("data_centre", "expected"),
-    [("a", placement.HERE), ("b", placement.SAME_REGION), ("c", placement.ELSEWHERE),
-     ("unknown", placement.ELSEWHERE)],
+    [("a", placement.SAME_DATA_CENTRE), ("b", placement.SAME_REGION), ("c", placement.OTHER_REGION),
+     ("unknown", placement.OTHER_REGION)],
 )  # fmt: skip
 def test_distance(data_centre, expected):
     place = placement.Place("e", "a", {"a": "r", "b": "r", "c": "s"})
--- a/tests/direct/test_pool.py
+++ b/tests/direct/test_pool.py
@@ -36,7 +36,7 @@
     async def connect():
         return Connection()
 
-    return pool_module.Pool(connect, lambda: 2, clock, stated_idle=stated_idle)
+    return pool_module.Pool(connect, lambda: 2, clock, keep_alive=stated_idle)
 
 
 async def use(pool, stated_s):
@@ -64,7 +64,7 @@
     """
 
     async def main():
-        clock, shared = Clock(), pool_module.StatedIdle()
+        clock, shared = Clock(), pool_module.KeepAliveTimeout()
         for each in stated_s:
             await use(make(clock, shared), each)
         pool = make(clock, shared)
@@ -84,7 +84,7 @@
     """
 
     async def main():
-        pool = make(Clock(), pool_module.StatedIdle())
+        pool = make(Clock(), pool_module.KeepAliveTimeout())
         async with pool.connection(0) as first, pool.connection(0):
             waiting = asyncio.create_task(use(pool, 10.0))
             await asyncio.sleep(0)
--- a/tests/direct/test_quarantine.py
+++ b/tests/direct/test_quarantine.py
@@ -147,7 +147,7 @@
 
 def stall_at(sender, part):
     """Block the event loop once, while a part of a query begins."""
-    begin, begun = sender.replicas.extra_sends, []
+    begin, begun = sender.replicas.retry_budget, []
 
     def extra_sends(service):
         begun.append(service)
@@ -155,7 +155,7 @@
             time.sleep(STALL_S)
         return begin(service)
 
-    sender.replicas.extra_sends = extra_sends
+    sender.replicas.retry_budget = extra_sends
 
 
 @pytest.mark.parametrize("part", range(1, len(SHARDS) + 1))
@@ -227,7 +227,7 @@
 
 def stall_often(sender, rng):
     """Block the event loop up to seven times, while parts of a query begin and between them."""
-    begin, begun = sender.replicas.extra_sends, itertools.count(1)
+    begin, begun = sender.replicas.retry_budget, itertools.count(1)
     stalled = set(rng.sample(range(1, 2 * len(SHARDS) + 1), rng.randint(1, 3)))
 
     def extra_sends(service):
@@ -235,7 +235,7 @@
             time.sleep(rng.uniform(0.02, 0.2))
         return begin(service)
 
-    sender.replicas.extra_sends = extra_sends
+    sender.replicas.retry_budget = extra_sends
     for _ in range(4):
         loop = asyncio.get_running_loop()
         loop.call_later(rng.uniform(0.0, 0.2), time.sleep, rng.uniform(0.01, 0.13))
--- a/tests/direct/test_replicas.py
+++ b/tests/direct/test_replicas.py
@@ -108,7 +108,7 @@
     pools = {}
     replicas = known(ALL, pools)
     for _ in range(replica_module.FAILURES_TO_EJECT):
-        next(each for each in replicas.all() if each.entry.instance == "n").failed(NOW_S)
+        next(each for each in replicas.all() if each.entry.instance == "n").record_failure(NOW_S)
     asyncio.run(replicas.warm(NOW_S, lambda service: True, far=False))
     assert (pools["n"].open_count, pools["b"].open_count) == (0, 1)
 
@@ -133,20 +133,20 @@
     for replicas in all_known:
         for data_centre, usual_ms in (("near", 12.0), ("far", 36.0)):
             for _ in range(20):
-                replicas.times(ROUTE.name, data_centre).add(usual_ms)
+                replicas.latencies(ROUTE.name, data_centre).add(usual_ms)
     failed = 0
     requests = int(PER_S * LENGTH_S)
     for number in range(requests):
         now_s = NOW_S + number / PER_S
         replicas = rng.choice(all_known)
-        extras = replicas.extra_sends("s")
+        extras = replicas.retry_budget("s")
         extras.count_request(now_s)
         first = replicas.choose("s", ROUTE, (), now_s)
         if first.entry.data_centre != shedding or rng.random() > shed_share:
-            first.succeeded(12.0, 12.0, now_s)
+            first.record_success(12.0, 12.0, now_s)
             continue
-        first.has_shed(now_s)
-        failed += not extras.spend(now_s, 1 / INSTANCES)
+        first.record_shed(now_s)
+        failed += not extras.try_spend(now_s, 1 / INSTANCES)
     assert failed <= requests * 0.01
 
 
@@ -154,9 +154,9 @@
     replicas = known([entry("n", "near"), entry("f", "far")], {})
     near = replicas.of("s")[0]
     for _ in range(20):
-        near.has_shed(NOW_S)
+        near.record_shed(NOW_S)
     assert replicas.choose("s", ROUTE, (), NOW_S + 1).entry.instance == "f"
     assert replicas.choose("s", ROUTE, (), NOW_S + 20).entry.instance == "n"
     for _ in range(20):
-        near.succeeded(12.0, 12.0, NOW_S + 1)
+        near.record_success(12.0, 12.0, NOW_S + 1)
     assert replicas.choose("s", ROUTE, (), NOW_S + 1).entry.instance == "n"
--- a/tests/direct/test_routes.py
+++ b/tests/direct/test_routes.py
@@ -19,7 +19,7 @@
         "goal_ms": 100.0,
         "priority": 1,
         "max_attempts": 2,
-        "services": (routes.Share("s", 1.0),),
+        "services": (routes.WeightedService("s", 1.0),),
     } | changes
     return routes.Route(name, host, prefix, **values)
 
@@ -55,7 +55,9 @@
 
 
 def test_services_are_drawn_by_weight():
-    split = route("r", "h", "/", services=(routes.Share("a", 3), routes.Share("b", 1)))
+    split = route(
+        "r", "h", "/", services=(routes.WeightedService("a", 3), routes.WeightedService("b", 1))
+    )
     spread, rng = callers.Spread(), random.Random(1)
     counts = collections.Counter(spread.pick(split, rng) for _ in range(4000))
     assert 0.72 < counts["a"] / 4000 < 0.78
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -27,7 +27,7 @@
         view = view_module.View("own", sender.replicas, sender.replicas, lambda: 0.0)
         if configured:
             route = routes.Route(
-                "r", "h.example", "/x/", True, 2000, 100, 1, 2, (routes.Share("s", 1.0),)
+                "r", "h.example", "/x/", True, 2000, 100, 1, 2, (routes.WeightedService("s", 1.0),)
             )
             view.configuration = routes.Configuration(3, (route,), {}, messages.Limits())
         callers = callers_module.Callers(view, sender, lambda: age_s)
@@ -112,7 +112,15 @@
         sender = scripted.make_sender({"s": {"a": slow}})
         view = view_module.View("own", sender.replicas, sender.replicas, lambda: 0.0)
         route = routes.Route(
-            "r", "h.example", "/x/", idempotent, 2000, 100, 1, 2, (routes.Share("s", 1.0),)
+            "r",
+            "h.example",
+            "/x/",
+            idempotent,
+            2000,
+            100,
+            1,
+            2,
+            (routes.WeightedService("s", 1.0),),
         )
         view.configuration = routes.Configuration(3, (route,), {}, messages.Limits())
         callers = callers_module.Callers(view, sender, lambda: 0.0)
@@ -133,7 +141,7 @@
     A route is split 3 to 1. Drawn at random, a few hundred requests miss the shares by several
     points; the operator takes that for a broken split.
     """
-    split = (routes.Share("a", 3.0), routes.Share("b", 1.0))
+    split = (routes.WeightedService("a", 3.0), routes.WeightedService("b", 1.0))
     route = routes.Route("r", "h", "/", True, 1000, 100, 1, 2, split)
     spread, rng = callers_module.Spread(), random.Random(1)
     counts = collections.Counter(spread.pick(route, rng) for _ in range(400))
@@ -263,7 +271,7 @@
         assert asked.done() == (reading == "fails")
         if reading == "comes":
             route = routes.Route(
-                "r", "h.example", "/x/", True, 2000, 100, 1, 2, (routes.Share("s", 1.0),)
+                "r", "h.example", "/x/", True, 2000, 100, 1, 2, (routes.WeightedService("s", 1.0),)
             )
             configuration = routes.Configuration(3, (route,), {}, messages.Limits())
             written = news.Written("config", configuration, 1)
--- a/tests/entry/test_view.py
+++ b/tests/entry/test_view.py
@@ -289,8 +289,8 @@
 def learnt(view, instance):
     """Teach a view all that it can learn of a replica, and return what it learnt it of."""
     (known,) = (each for each in view.replicas.all() if each.entry.instance == instance)
-    known.pace, known.trouble, known.failures, known.ejections = 9.0, 0.9, 3, 2
-    known.ejected_until_s = known.full_until_s = known.elsewhere_until_s = 1e9
+    known.relative_latency, known.failure_rate, known.failures, known.ejections = 9.0, 0.9, 3, 2
+    known.ejected_until_s = known.shed_until_s = known.misdirected_until_s = 1e9
     return known
 
 
@@ -312,7 +312,12 @@
         view.take_snapshot(news.Snapshot((again,), 2))
     (known,) = view.replicas.all()
     assert known is not former
-    assert (known.pace, known.trouble, known.failures, known.ejections) == (1.0, 0.0, 0, 0)
+    assert (known.relative_latency, known.failure_rate, known.failures, known.ejections) == (
+        1.0,
+        0.0,
+        0,
+        0,
+    )
     assert not known.set_aside(clock.now_s) and not known.leaving
     assert former.pool.closed and not known.pool.closed
 
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -69,7 +69,7 @@
     mutant.one(
         "owners-share-alike",
         "direct/budget.py",
-        "        return OWNERS_SHARE / owners",
+        "        return OWNERS_SLACK_SHARE / owners",
         "        return 1 / instances",
         "direct/test_budget.py::test_an_owner_among_many_has_extra_sends_to_make",
     ),
@@ -401,8 +401,8 @@
     mutant.one(
         "misdirected-tried-again",
         "direct/tracking.py",
-        "        replica.misdirected(now_s)\n",
-        "        replica.full_until_s = now_s + replica_module.SHED_PAUSE_S\n",
+        "        replica.record_misdirected(now_s)\n",
+        "        replica.shed_until_s = now_s + replica_module.SHED_BACKOFF_S\n",
         "direct/test_obtaining.py::test_an_address_that_is_anothers_gets_nothing_more",
     ),
     mutant.one(
--- a/tests/platform/test_decode.py
+++ b/tests/platform/test_decode.py
@@ -21,10 +21,10 @@
 @pytest.mark.parametrize(
     ("changes", "expected"),
     [
-        ({"Service": "a"}, {"services": (routes.Share("a", 1.0),), "shards": ()}),
+        ({"Service": "a"}, {"services": (routes.WeightedService("a", 1.0),), "shards": ()}),
         (
             {"TrafficSplit": SPLIT},
-            {"services": (routes.Share("a", 3.0), routes.Share("b", 1.0))},
+            {"services": (routes.WeightedService("a", 3.0), routes.WeightedService("b", 1.0))},
         ),
         (
             {"Gather": ["a", "b"], "TopK": 5, "MinCoverage": 0.75},
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -144,7 +144,7 @@
         "goal_ms": 100.0,
         "priority": 1,
         "max_attempts": 2,
-        "services": (routes.Share("s", 1.0),),
+        "services": (routes.WeightedService("s", 1.0),),
     } | changes
     route = routes.Route("r", "h", "/", **values)
     now_s = asyncio.get_running_loop().time()
