--- a/src/turmericlug/direct/handover.py
+++ b/src/turmericlug/direct/handover.py
@@ -101,7 +101,7 @@
         answer_at_s: float,
     ) -> dict[str, Handed]:
         """
-        Send the shards that others should send to in batches.
+        Attempt the shards that others should send to in batches.
 
         :returns: the batch of each shard that is in one
         """
@@ -133,10 +133,10 @@
     async def _comes_back(
         self, sender: sender_module.Sender, call: sending.Call, handed: Handed, answer_at_s: float
     ) -> bool:
-        """Send a batch and take its answers; false when it has to be taken for lost."""
+        """Attempt a batch and take its answers; false when it has to be taken for lost."""
         loop = asyncio.get_running_loop()
         peer = handed.peer
-        send = replica_module.Send(loop.time(), self._alive_after_s(peer.entry.data_centre))
+        send = replica_module.Attempt(loop.time(), self._alive_after_s(peer.entry.data_centre))
         peer.sends.add(send)
         try:
             await self._sent(sender, call, handed, answer_at_s, send)
@@ -191,7 +191,7 @@
         call: sending.Call,
         handed: Handed,
         answer_at_s: float,
-        send: replica_module.Send,
+        send: replica_module.Attempt,
     ) -> None:
         loop = asyncio.get_running_loop()
         data_centre = handed.peer.entry.data_centre
--- a/src/turmericlug/direct/obtaining.py
+++ b/src/turmericlug/direct/obtaining.py
@@ -38,7 +38,7 @@
     """A send under way."""
 
     replica: replica_module.Replica
-    send: replica_module.Send
+    send: replica_module.Attempt
 
     @property
     def began_s(self) -> float:
@@ -127,7 +127,7 @@
 
 
 async def _first_answer(effort: _Effort, first: replica_module.Replica | None) -> sending.Outcome:
-    """Send, hedge and repeat until there is an answer or nothing more may be sent."""
+    """Attempt, hedge and repeat until there is an answer or nothing more may be sent."""
     loop = asyncio.get_running_loop()
     call = effort.call
     if first is not None:
@@ -262,7 +262,7 @@
 
 
 def _repeat(effort: _Effort, now_s: float) -> None:
-    """Send once more after a failure, if that can't make the request run twice by our doing."""
+    """Attempt once more after a failure, if that can't make the request run twice by our doing."""
     sender, call = effort.sender, effort.call
     failure = effort.failure
     if effort.pending:
@@ -341,7 +341,7 @@
 
 
 def _start(effort: _Effort, now_s: float) -> None:
-    """Send to the best replica, if there is one."""
+    """Attempt to the best replica, if there is one."""
     replica = _choose(effort, now_s)
     if replica is not None:
         _send_to(effort, replica, now_s)
@@ -368,7 +368,7 @@
 def _send_to(effort: _Effort, replica: replica_module.Replica, now_s: float) -> None:
     sender, call = effort.sender, effort.call
     late_ms = sender.replicas.hedge_after_ms(replica, call.route)
-    send = replica_module.Send(now_s, late_ms / 1000, replica.entry.instance)
+    send = replica_module.Attempt(now_s, late_ms / 1000, replica.entry.instance)
     # Noted before its task runs: what is given up in the same turn must find it.
     replica.sends.add(send)
     if replica.is_cold(now_s):
--- a/src/turmericlug/direct/peers.py
+++ b/src/turmericlug/direct/peers.py
@@ -125,7 +125,7 @@
             if shared:
                 groups += self._to_owners(data_centre, shards, call.route, now_s)
             elif data_centre != self._place.data_centre and len(shards) >= LEAST_SHARDS:
-                names = placement.usual(
+                names = placement.preferred(
                     self._place.name, self._names(data_centre), PEERS_PER_DATA_CENTRE
                 )
                 peer = self.choose(data_centre, names, call.route, now_s)
@@ -214,7 +214,7 @@
             elif data_centre == self._place.data_centre:
                 continue
             else:
-                usual = set(placement.usual(self._place.name, names, PEERS_PER_DATA_CENTRE))
+                usual = set(placement.preferred(self._place.name, names, PEERS_PER_DATA_CENTRE))
             found += [
                 each for each in self._instances.of(data_centre) if each.entry.instance in usual
             ]
--- a/src/turmericlug/direct/placement.py
+++ b/src/turmericlug/direct/placement.py
@@ -110,7 +110,7 @@
     return min(data_centres, key=place_and_turn)
 
 
-def usual(own_name: str, names: abc.Collection[str], count: int) -> list[str]:
+def preferred(own_name: str, names: abc.Collection[str], count: int) -> list[str]:
     """Return a fixed few of some instances, others for each instance that asks."""
     return heapq.nsmallest(count, names, key=lambda name: _rank(own_name, name))
 
--- a/src/turmericlug/direct/replica.py
+++ b/src/turmericlug/direct/replica.py
@@ -25,7 +25,7 @@
 
 
 @attrs.define(eq=False)
-class Send:
+class Attempt:
     """One request under way to a replica."""
 
     began_s: float
@@ -63,7 +63,7 @@
 
     entry: routes.ReplicaEntry
     pool: pool_module.Pool
-    sends: set[Send] = attrs.field(factory=set)
+    sends: set[Attempt] = attrs.field(factory=set)
     relative_latency: float = 1.0
     """Its times as a multiple of what is usual in its data centre."""
     relative_latency_at_s: float = 0.0
--- a/src/turmericlug/direct/sending.py
+++ b/src/turmericlug/direct/sending.py
@@ -47,7 +47,7 @@
     """What an answer takes to the caller."""
     answer_at_s: float | None = None
     """When a query over shards answers with what it has."""
-    asked: dict[str, list[replica_module.Send]] = attrs.field(factory=dict)
+    asked: dict[str, list[replica_module.Attempt]] = attrs.field(factory=dict)
     """The sends of each service, in order."""
     handed_over: dict[str, str] = attrs.field(factory=dict)
     """The instance that was last asked to send to a shard, for each that one was."""
@@ -236,7 +236,7 @@
     return status in _PROMISE_STATUSES
 
 
-def _timed_out(progress: replica_module.Send) -> Outcome:
+def _timed_out(progress: replica_module.Attempt) -> Outcome:
     if progress.written_s is None:
         return NotRun("no_connection_in_time", sent=False)
     return Unknown(SILENT)
@@ -246,11 +246,11 @@
     call: Call,
     replica: replica_module.Replica,
     names: dialect_module.Dialect,
-    progress: replica_module.Send,
+    progress: replica_module.Attempt,
     withheld: abc.Callable[[], str],
 ) -> Outcome:
     """
-    Send a request to a replica and wait for what it says.
+    Attempt a request to a replica and wait for what it says.
 
     :param progress: told when the request is written; may bring its limit forward
     :param withheld: asked just before the request is written; tells why it must not be, if so
--- a/src/turmericlug/direct/tracking.py
+++ b/src/turmericlug/direct/tracking.py
@@ -14,9 +14,9 @@
     sender: sender_module.Sender,
     call: sending.Call,
     replica: replica_module.Replica,
-    send: replica_module.Send,
+    send: replica_module.Attempt,
 ) -> sending.Outcome:
-    """Send, and let the replica's standing learn from the outcome."""
+    """Attempt, and let the replica's standing learn from the outcome."""
     try:
         outcome = await sending.send(
             call, replica, sender.names, send, lambda: sender.withheld(call, replica)
--- a/src/turmericlug/entry/relay.py
+++ b/src/turmericlug/entry/relay.py
@@ -170,7 +170,7 @@
     def _relay_names(self) -> list[str]:
         peers = self.peers.of(self.place.data_centre)
         names = [self.place.name, *(each.entry.instance for each in peers)]
-        return placement.usual("news", names, RELAYS)
+        return placement.preferred("news", names, RELAYS)
 
     async def _direct(self, after: news.Position, wait_s: float, has_relays: bool) -> news.Changes:
         """Ask the source; not at once again when it has failed and relays ask it as well."""
--- a/tests/direct/test_answering.py
+++ b/tests/direct/test_answering.py
@@ -89,10 +89,10 @@
 @pytest.mark.parametrize(
     ("last", "handed_over", "status"),
     [
-        ([replica_module.Send(0.0, 1.0, written_s=0.0, ended_s=0.1, ran=False)], False, 503),
-        ([replica_module.Send(0.0, 1.0, written_s=0.0, ended_s=0.1)], False, 502),
-        ([replica_module.Send(0.0, 1.0, written_s=0.0)], False, 502),
-        ([replica_module.Send(0.0, 1.0)], False, 502),
+        ([replica_module.Attempt(0.0, 1.0, written_s=0.0, ended_s=0.1, ran=False)], False, 503),
+        ([replica_module.Attempt(0.0, 1.0, written_s=0.0, ended_s=0.1)], False, 502),
+        ([replica_module.Attempt(0.0, 1.0, written_s=0.0)], False, 502),
+        ([replica_module.Attempt(0.0, 1.0)], False, 502),
         ([], False, 503),
         ([], True, 502),
     ],
--- a/tests/direct/test_obtaining.py
+++ b/tests/direct/test_obtaining.py
@@ -234,7 +234,7 @@
         sender = scripted.make_sender({"s": scripts})
         loop = asyncio.get_running_loop()
         for replica in sender.replicas.all():
-            replica.sends.add(replica_module.Send(loop.time() - 1.0, 0.05))
+            replica.sends.add(replica_module.Attempt(loop.time() - 1.0, 0.05))
         outcome = await obtaining.obtain(sender, scripted.make_call(), "s")
         await sender.tasks.close()
         assert isinstance(outcome, sending.Answered)
--- a/tests/entry/test_relay.py
+++ b/tests/entry/test_relay.py
@@ -70,7 +70,7 @@
     candidates = itertools.permutations(map(str, range(60)), count)
     for names in candidates:
         expected = [names[each] if each >= 0 else "own" for each in relays]
-        if placement.usual("news", ["own", *names], len(relays)) == expected:
+        if placement.preferred("news", ["own", *names], len(relays)) == expected:
             return names
     raise AssertionError("no such names")
 
