--- a/src/turmericlug/direct/budget.py
+++ b/src/turmericlug/direct/budget.py
@@ -1,11 +1,12 @@
 """
-The share of extra sends (hedges and retries) that one instance may make.
-
-The load pattern: replicas turn slow, every instance sends a second time, and the extra load keeps
-them slow. All instances together may send only so many beyond the first of each request, in any
-window; nobody counts them centrally, so each keeps to its part of the allowance. Where a few
-instances send nearly all parts of a shard, most of its allowance is theirs: divided evenly among
-hundreds, each has one or two, and most of those instances have nothing to send.
+The retry budget: how many extra attempts (hedges and retries) one instance may make.
+
+Without a limit, slow replicas make every instance send requests a second time, and the extra load
+keeps the replicas slow. In any time window, all instances together may make only a limited number
+of attempts beyond the first one of each request. There is no central counter, so each instance
+keeps to its share of the allowance. Where a few owners send nearly all parts of a shard, they get
+a large part of its allowance: divided evenly among hundreds of instances it would leave each one
+or two extra attempts, and most of these instances have no parts to send.
 """
 
 from __future__ import annotations
@@ -14,26 +15,29 @@
 
 import attrs
 
-SAFETY = 0.8
-"""Part of the allowance that is used: windows of the instances and of the replicas differ by a
-round trip, and an instance that starts again forgets what it has used."""
+SAFETY_FACTOR = 0.8
+"""Fraction of the allowance that is used. The windows of instances and replicas differ by a round
+trip, and an instance that restarts loses its counts."""
 OWNERS_SLACK_SHARE = 0.4
-"""Part of a shard's slack for the instances that usually send to it. The rest is for those that
-make up for a lost owner, and left over where owners change: each new one begins to count anew."""
+"""Fraction of a shard's slack that its owners share. The rest is for instances that stand in for a
+lost owner, and a reserve for changes of owners, as a new owner starts with empty counts."""
 _SLICES = 20
+"""Number of time slices in a window."""
 
 
 @attrs.frozen
 class Allowance:
-    """What all instances together may send beyond the first of each request."""
+    """Limit on the extra attempts of all instances together, in one window."""
 
     ratio: float = 0.2
+    """Extra attempts for each request."""
     slack: float = 50.0
+    """Extra attempts that are allowed whatever the number of requests."""
     window_s: float = 10.0
 
 
-class ExtraSends:
-    """Requests and extra sends of one service over a sliding window, in slices of time."""
+class RetryBudget:
+    """Counts requests to a service and extra attempts over a sliding window of time slices."""
 
     def __init__(self, allowance: Allowance) -> None:
         self._allowance = allowance
@@ -42,44 +46,50 @@
         self._extras: collections.Counter[int] = collections.Counter()
 
     def set_allowance(self, allowance: Allowance) -> None:
-        """Go by another ratio and slack from now on; the window stays as it is."""
+        """Apply another ratio and slack; the window length does not change."""
         self._allowance = allowance
 
     def count_request(self, now_s: float) -> None:
-        """Take note of a request for the service."""
+        """Count a request to the service."""
         self._requests[int(now_s / self._slice_s)] += 1
 
     def count_extra(self, now_s: float) -> None:
-        """Take note of an extra send, allowed or not to be avoided."""
+        """Count an extra attempt, whether the budget allowed it or it could not be avoided."""
         self._extras[int(now_s / self._slice_s)] += 1
 
     def try_spend(self, now_s: float, share: float) -> bool:
         """
-        Send once more if that stays within this instance's part.
+        Count an extra attempt if the budget allows it.
 
-        :param share: this instance's part of the slack
+        :param share: this instance's share of the slack
+        :returns: whether the attempt may be made
         """
-        if self.left(now_s, share) < 1.0:
+        if self.remaining(now_s, share) < 1.0:
             return False
         self.count_extra(now_s)
         return True
 
-    def left(self, now_s: float, share: float) -> float:
-        """Return how many extra sends are left in the present window."""
+    def remaining(self, now_s: float, share: float) -> float:
+        """
+        Return how many extra attempts are left in the current window.
+
+        :param share: this instance's share of the slack
+        """
         current = int(now_s / self._slice_s)
-        requests = _recent(self._requests, current)
-        extras = _recent(self._extras, current)
+        requests = _window_total(self._requests, current)
+        extras = _window_total(self._extras, current)
         allowance = self._allowance
         allowed = allowance.ratio * requests + allowance.slack * share
-        return SAFETY * allowed - extras
+        return SAFETY_FACTOR * allowed - extras
 
 
 def slack_share(instances: int, owners: int, is_owner: bool) -> float:
     """
-    Return the part of a service's slack that one instance may use.
+    Return the share of a service's slack that one instance may use.
 
-    :param owners: how many instances usually send to it; 0 where all do
-    :param is_owner: whether this is one of them
+    :param instances: the number of all instances
+    :param owners: the number of instances that usually send to the service; 0 if all do
+    :param is_owner: whether the instance is one of these owners
     """
     if not owners:
         return 1 / max(instances, 1)
@@ -88,7 +98,7 @@
     return (1 - OWNERS_SLACK_SHARE) / max(instances, 1)
 
 
-def _recent(counts: collections.Counter[int], current: int) -> int:
-    for old in [each for each in counts if each < current - _SLICES]:
-        del counts[old]
+def _window_total(counts: collections.Counter[int], current: int) -> int:
+    for expired in [each for each in counts if each < current - _SLICES]:
+        del counts[expired]
     return sum(counts.values())
--- a/src/turmericlug/direct/load.py
+++ b/src/turmericlug/direct/load.py
@@ -1,4 +1,4 @@
-"""What a replica tells of its load."""
+"""The load that a replica reports."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @attrs.frozen
 class Load:
-    """The work of one replica at the moment of its answer."""
+    """The load of a replica at the time of its response."""
 
     running: int
     waiting: int
     slots: int
     slowdown: float = 1.0
-    """How many times as long as usual work takes on its machine now."""
+    """Current duration of work on the replica's machine, as a multiple of the usual duration."""
--- a/src/turmericlug/direct/peers.py
+++ b/src/turmericlug/direct/peers.py
@@ -1,5 +1,8 @@
 """
-The other instances: which of them sends to a shard's replicas, and how they have answered so far.
+Peer instances: which of them send to a shard's replicas, and the round-trip times to them.
+
+Where instances are many, a shard's replicas in a data centre get requests from few instances only,
+the shard's owners. The others hand their parts to one of the owners.
 """
 
 from __future__ import annotations
@@ -22,11 +25,13 @@
 from turmericlug.telemetry import decisions
 
 PEERS_PER_DATA_CENTRE = 4
-"""Enough that one that is lost or slow leaves others; few enough to keep a connection to each."""
-LEAST_SHARDS = 2
-"""One part alone costs less bytes on its own than in a batch."""
-ROUND_TRIP_GUESS_MS = 30.0
-ROUND_TRIP_GAIN = 0.2
+"""Enough to fail over when one is lost or slow; few enough to keep a connection open to each."""
+MIN_SHARDS_PER_BATCH = 2
+"""A single part sent directly transfers fewer bytes than a batch that holds only this part."""
+DEFAULT_ROUND_TRIP_MS = 30.0
+"""Assumed until a round trip to the data centre has been measured."""
+ROUND_TRIP_WEIGHT = 0.2
+"""Weight of a new measurement in the moving average."""
 
 
 FirstChoices = dict[str, replica_module.Replica]
@@ -34,45 +39,46 @@
 
 
 @attrs.frozen
-class Group:
-    """Shards of one query that one instance is to send to."""
+class Assignment:
+    """The shards of a query that are handed to one peer."""
 
     peer: replica_module.Replica
     shards: tuple[str, ...]
 
 
 class Peers:
-    """The other instances, with what is worked out from who is there."""
+    """The peers of this instance, with caches that are derived from the list of instances."""
 
     def __init__(self, instances: replicas_module.Replicas, place: placement.Place) -> None:
         """
-        Make the view of the other instances.
+        Create a view of the peers.
 
-        :param instances: each as a replica of a service named like its data centre
+        :param instances: the peers; each is a replica of a service named after its data centre
+        :param place: where this instance runs
         """
         self._instances = instances
         self._place = place
         self._round_trips_ms: dict[str, float] = {}
         self._owners: dict[str, list[list[str]]] = {}
-        self._usual: dict[bool, list[replica_module.Replica]] = {}
+        self._preferred: dict[bool, list[replica_module.Replica]] = {}
 
     def round_trip_ms(self, data_centre: str) -> float:
-        """Return the recent round trip to the instances of a data centre."""
-        return self._round_trips_ms.get(data_centre, ROUND_TRIP_GUESS_MS)
+        """Return the moving average of round trips to the instances of a data centre."""
+        return self._round_trips_ms.get(data_centre, DEFAULT_ROUND_TRIP_MS)
 
     def clear_owner_cache(self) -> None:
-        """Work out anew who owns what: instances have come or gone."""
+        """Discard the cached owners after an instance was added or removed."""
         self._owners.clear()
-        self._usual.clear()
+        self._preferred.clear()
 
-    def _names(self, data_centre: str) -> list[str]:
+    def _instance_names(self, data_centre: str) -> list[str]:
         names = [each.entry.instance for each in self._instances.of(data_centre)]
         return [*names, self._place.name] if data_centre == self._place.data_centre else names
 
     def owners(self, data_centre: str, shard: str) -> list[str]:
-        """Return the instances that send to a shard's replicas in a data centre."""
+        """Return the owners of a shard in a data centre."""
         if data_centre not in self._owners:
-            self._owners[data_centre] = placement.owners_by_group(self._names(data_centre))
+            self._owners[data_centre] = placement.owners_by_group(self._instance_names(data_centre))
         groups = self._owners[data_centre]
         return groups[placement.group_of(shard, len(groups))]
 
@@ -80,9 +86,11 @@
         self, sender: sender_module.Sender, entry: routes.ReplicaEntry, rate_per_s: float
     ) -> warm_up.Share:
         """
-        Return this instance's part of what a cold replica bears.
+        Return this instance's share of the request rate that a cold replica can take.
+
+        Where a shard has owners, only the owners in the replica's data centre have a share.
 
-        Where a shard has owners, only those in the replica's data centre have one.
+        :param rate_per_s: the rate that the replica can take from all instances together
         """
         own = self._place.name
         phase = warm_up.phase_of(own, entry.instance)
@@ -93,13 +101,13 @@
         return warm_up.Share(rate_per_s, len(owners) if own in owners else 0, phase)
 
     def sends_directly(self, sender: sender_module.Sender, shard: str) -> bool:
-        """Whether this instance is to send to a shard's replicas in its own data centre."""
+        """Whether this instance sends to a shard's replicas in its own data centre itself."""
         if placement.all_send_directly(sender.instances()):
             return True
         return self._place.name in self.owners(self._place.data_centre, shard)
 
     def slack_share(self, sender: sender_module.Sender, service: str) -> float:
-        """Return this instance's part of the extra sends that a service may get."""
+        """Return this instance's share of the slack in a service's retry budget."""
         instances = sender.instances()
         if placement.all_send_directly(instances) or not sender.is_shard(service):
             return budget.slack_share(instances, owners=0, is_owner=False)
@@ -108,32 +116,32 @@
         return budget.slack_share(instances, len(owners), self._place.name in owners)
 
     def record_round_trip(self, data_centre: str, round_trip_ms: float) -> None:
-        """Take note of a round trip to an instance of a data centre."""
-        known_ms = self.round_trip_ms(data_centre)
-        self._round_trips_ms[data_centre] = known_ms + ROUND_TRIP_GAIN * (
-            max(round_trip_ms, 0.0) - known_ms
+        """Record a round trip to an instance of a data centre."""
+        average_ms = self.round_trip_ms(data_centre)
+        self._round_trips_ms[data_centre] = average_ms + ROUND_TRIP_WEIGHT * (
+            max(round_trip_ms, 0.0) - average_ms
         )
 
     def plan(
         self, sender: sender_module.Sender, call: sending.Call, first: FirstChoices, now_s: float
-    ) -> list[Group]:
-        """Group the shards that others should send to by the instance that is to do it."""
-        by_place = self._places(sender, call.route, first, now_s)
+    ) -> list[Assignment]:
+        """Assign to peers the shards that they should send to instead of this instance."""
+        by_data_centre = self._choose_data_centres(sender, call.route, first, now_s)
         shared = not placement.all_send_directly(sender.instances())
-        groups: list[Group] = []
-        for data_centre, shards in by_place.items():
+        assignments: list[Assignment] = []
+        for data_centre, shards in by_data_centre.items():
             if shared:
-                groups += self._to_owners(data_centre, shards, call.route, now_s)
-            elif data_centre != self._place.data_centre and len(shards) >= LEAST_SHARDS:
+                assignments += self._assign_to_owners(data_centre, shards, call.route, now_s)
+            elif data_centre != self._place.data_centre and len(shards) >= MIN_SHARDS_PER_BATCH:
                 names = placement.preferred(
-                    self._place.name, self._names(data_centre), PEERS_PER_DATA_CENTRE
+                    self._place.name, self._instance_names(data_centre), PEERS_PER_DATA_CENTRE
                 )
                 peer = self.choose(data_centre, names, call.route, now_s)
                 if peer is not None:
-                    groups.append(Group(peer, tuple(shards)))
-        return groups
+                    assignments.append(Assignment(peer, tuple(shards)))
+        return assignments
 
-    def _places(
+    def _choose_data_centres(
         self,
         sender: sender_module.Sender,
         route: routes.Route,
@@ -141,54 +149,58 @@
         now_s: float,
     ) -> dict[str, list[str]]:
         """
-        Choose the data centre in which each shard is asked.
+        Choose the data centre to which the part of each shard goes; return the shards of each.
 
-        That of its best replica; of those that are equally far, as few as possible, since a batch
-        costs about as much as a part by itself.
+        It is the data centre of the shard's best replica. Among data centres at the same distance
+        as few as possible are chosen, since a batch costs about as much as a single part.
         """
-        places: dict[str, list[str]] = {}
-        open_choice: dict[str, set[str]] = {}
+        chosen_shards: dict[str, list[str]] = {}
+        candidates: dict[str, set[str]] = {}
         for shard, best in first.items():
             distance = self._place.distance(best.entry.data_centre)
             if distance == placement.SAME_DATA_CENTRE:
-                places.setdefault(best.entry.data_centre, []).append(shard)
+                chosen_shards.setdefault(best.entry.data_centre, []).append(shard)
                 continue
-            open_choice[shard] = {best.entry.data_centre} | {
+            candidates[shard] = {best.entry.data_centre} | {
                 each.entry.data_centre
                 for each in sender.replicas.eligible(shard, route)
                 if self._place.distance(each.entry.data_centre) == distance
                 and not (each.set_aside(now_s) or each.overdue(now_s))
             }
-        while open_choice:
+        while candidates:
             counts = collections.Counter(
-                each for data_centres in open_choice.values() for each in data_centres
+                each for data_centres in candidates.values() for each in data_centres
             )
             chosen = min(counts, key=lambda each: (-counts[each], self.round_trip_ms(each), each))
-            shards = [shard for shard, each in open_choice.items() if chosen in each]
-            places[chosen] = shards
+            shards = [shard for shard, each in candidates.items() if chosen in each]
+            chosen_shards[chosen] = shards
             for shard in shards:
-                del open_choice[shard]
-        return places
+                del candidates[shard]
+        return chosen_shards
 
-    def _to_owners(
+    def _assign_to_owners(
         self, data_centre: str, shards: list[str], route: routes.Route, now_s: float
-    ) -> list[Group]:
+    ) -> list[Assignment]:
         by_owners: dict[tuple[str, ...], list[str]] = {}
         for shard in shards:
             owners = self.owners(data_centre, shard)
             if self._place.name not in owners:
                 by_owners.setdefault(tuple(owners), []).append(shard)
-        groups = []
+        assignments = []
         for owners, owned in by_owners.items():
             peer = self.choose(data_centre, owners, route, now_s)
             if peer is not None:
-                groups.append(Group(peer, tuple(owned)))
-        return groups
+                assignments.append(Assignment(peer, tuple(owned)))
+        return assignments
 
     def choose(
         self, data_centre: str, names: abc.Collection[str], route: routes.Route, now_s: float
     ) -> replica_module.Replica | None:
-        """Pick the best of some instances; none when that one is set aside or late itself."""
+        """
+        Return the best of the named instances.
+
+        :returns: ``None`` if there is none, or if the best is set aside or has an overdue attempt
+        """
         others = [
             each for each in self._instances.of(data_centre) if each.entry.instance not in names
         ]
@@ -197,39 +209,42 @@
             return None
         return peer
 
-    def usual_peers(self, shared: bool) -> list[replica_module.Replica]:
+    def preferred_peers(self, shared: bool) -> list[replica_module.Replica]:
         """
-        Return the instances that this one hands batches to.
+        Return the peers that this instance hands batches to.
+
+        They are a few fixed ones per data centre, so that connections stay in use and their number
+        does not grow with the number of instances.
 
-        A fixed few of each data centre, so that connections stay warm and their number does not
-        grow with the fleet.
+        :param shared: whether instances are so many that each shard has owners
         """
-        if shared in self._usual:
-            return self._usual[shared]
-        found = self._usual[shared] = []
+        if shared in self._preferred:
+            return self._preferred[shared]
+        found = self._preferred[shared] = []
         for data_centre in {each.entry.data_centre for each in self._instances.all()}:
-            names = self._names(data_centre)
+            names = self._instance_names(data_centre)
             if shared:
-                usual = {name for owners in placement.owners_by_group(names) for name in owners}
+                preferred = {name for owners in placement.owners_by_group(names) for name in owners}
             elif data_centre == self._place.data_centre:
                 continue
             else:
-                usual = set(placement.preferred(self._place.name, names, PEERS_PER_DATA_CENTRE))
+                preferred = set(placement.preferred(self._place.name, names, PEERS_PER_DATA_CENTRE))
             found += [
-                each for each in self._instances.of(data_centre) if each.entry.instance in usual
+                each for each in self._instances.of(data_centre) if each.entry.instance in preferred
             ]
         return found
 
     async def warm(self, shared: bool) -> None:
         """
-        Open connections to the usual instances ahead of need.
+        Open connections to the preferred peers before they are needed.
 
-        The first batch on a new connection is a round trip late, which misses a goal of 135 ms.
+        The first batch on a new connection takes an extra round trip, which is enough to miss a
+        latency goal of 135 ms.
 
         :param shared: whether instances are so many that each shard has owners
         """
         now_s = asyncio.get_running_loop().time()
-        for peer in self.usual_peers(shared):
+        for peer in self.preferred_peers(shared):
             if peer.set_aside(now_s) or peer.pool.open_count:
                 continue
             try:
--- a/src/turmericlug/direct/placement.py
+++ b/src/turmericlug/direct/placement.py
@@ -1,10 +1,11 @@
 """
-Who sends to a replica: pure functions of the instances and the shards.
+Which instances send to a replica: pure functions of the lists of instances and shards.
 
-The load pattern: many instances with few queries each, over many shards. Where each sends to every
-replica, connections are idle for too long to be kept, and replicas run out of them. So where
-instances are many, a shard's replicas in one data centre are sent to by two instances of it; their
-connections stay open, and a query's work is spread over several instances.
+They serve a load of many instances that each take few queries over many shards. If each instance
+sent to every replica, connections would be idle for too long to be kept open, and replicas would
+run out of connections. So where instances are many, only two instances of a data centre, the
+owners, send to a shard's replicas there. The owners' connections stay open, and the work of a query
+is spread over several instances.
 """
 
 from __future__ import annotations
@@ -19,29 +20,31 @@
 
 SAME_DATA_CENTRE, SAME_REGION, OTHER_REGION = 0, 1, 2
 MAX_DIRECT_SENDERS = 12
-"""Instances that may send to one replica: with at least 26 connections each has two of its own."""
-OWNERS = 2
-"""One that is lost or slow leaves the other."""
-LEAST_GROUPS = 4
-"""Divides a query of 135 shards into batches of some 30 parts."""
-GROUPS_STEP = 4
-MOST_INSTANCES_PER_GROUP = 6
-"""The number of groups rises in steps: if it followed the instances, each that comes or goes would
-move every shard to other owners, whose connections are cold."""
-
-_SPREAD = 2654435761
-"""Knuth's factor for multiplicative hashing. Without it two names keep their order for nearly all
-salts, as the checksums of texts that differ in the same place differ by the same bits."""
+"""Up to this number of instances each sends to every replica. A replica that takes at least 26
+connections then has two for each, before ``pool.USABLE_CONNECTIONS_SHARE`` is deducted."""
+OWNERS_PER_GROUP = 2
+"""If one is lost or slow, the other takes its parts."""
+MIN_GROUPS = 4
+"""Divides a query over 135 shards into batches of about 30 parts."""
+GROUP_GROWTH_FACTOR = 4
+MAX_INSTANCES_PER_GROUP = 6
+"""The number of groups grows in steps. If it followed the number of instances, each instance added
+or removed would move every shard to other owners, which have no connections open yet."""
+
+_HASH_MULTIPLIER = 2654435761
+"""Knuth's factor for multiplicative hashing. Without it two names keep their relative order for
+nearly all salts, as the CRCs of strings that differ in the same position differ in the same bits.
+"""
 
 
 @attrs.frozen
 class Place:
-    """Where this instance is."""
+    """The name and the location of this instance."""
 
     name: str
     data_centre: str
     regions: abc.Mapping[str, str]
-    """Region of each data centre."""
+    """The region of each data centre."""
 
     def distance(self, data_centre: str) -> int:
         """Return ``SAME_DATA_CENTRE``, ``SAME_REGION`` or ``OTHER_REGION``."""
@@ -51,20 +54,20 @@
         return SAME_REGION if self.regions.get(data_centre) == own else OTHER_REGION
 
     def allows(self, regions: frozenset[str] | None, data_centre: str) -> bool:
-        """Whether a data centre lies in one of some regions; ``None``: any will do."""
+        """Whether a data centre is in one of the regions; ``None`` stands for all regions."""
         return regions is None or self.regions.get(data_centre) in regions
 
 
 def all_send_directly(instances: int) -> bool:
-    """Whether instances are so few that each may send to every replica."""
+    """Whether instances are so few that each sends to every replica."""
     return instances <= MAX_DIRECT_SENDERS
 
 
-def groups_count(instances: int) -> int:
-    """Return into how many groups the shards are divided in a data centre of so many instances."""
-    groups = LEAST_GROUPS
-    while instances > MOST_INSTANCES_PER_GROUP * groups:
-        groups *= GROUPS_STEP
+def group_count(instances: int) -> int:
+    """Return the number of shard groups in a data centre with this number of instances."""
+    groups = MIN_GROUPS
+    while instances > MAX_INSTANCES_PER_GROUP * groups:
+        groups *= GROUP_GROWTH_FACTOR
     return groups
 
 
@@ -77,41 +80,51 @@
     """
     Return the owners of each group among the instances of a data centre.
 
-    By rendezvous hashing, so that a lost instance moves few groups; an instance owns a further
-    group only when there are not enough others.
+    Rendezvous hashing ranks the instances, so that the loss of one moves few groups. Instances that
+    own fewer groups come first, so that an instance owns a further group only when there are not
+    enough others.
     """
-    groups = groups_count(len(names))
-    found: list[list[str]] = []
-    owned: collections.Counter[str] = collections.Counter()
+    groups = group_count(len(names))
+    owners_of_groups: list[list[str]] = []
+    groups_owned: collections.Counter[str] = collections.Counter()
     for group in range(groups):
         ranked = sorted(names, key=functools.partial(_rank, group))
-        owners = sorted(ranked, key=owned.__getitem__)[:OWNERS]
-        owned.update(owners)
-        found.append(owners)
-    return found
+        owners = sorted(ranked, key=groups_owned.__getitem__)[:OWNERS_PER_GROUP]
+        groups_owned.update(owners)
+        owners_of_groups.append(owners)
+    return owners_of_groups
 
 
 def common_replica(request: bytes, data_centres: abc.Mapping[str, str], data_centre: str) -> str:
     """
-    Return the replica that every instance may send a part to which is handed to a data centre.
+    Return the one replica to which any instance may send a part handed to a data centre.
 
-    All instances that it may come to work out the same one, so that a part which one of them has
-    sent unnoticed can't reach too many replicas in all: one of that data centre, if there is any,
-    by the request, so that several get even shares.
+    All instances that may get the part compute the same replica. A part that one of them has sent
+    without the others' knowledge thus can't reach more replicas than allowed. Replicas in the given
+    data centre come first; among several the choice depends on the request, so that they get equal
+    shares.
 
-    :param data_centres: of each replica, by its instance
+    :param request: the request's identifier
+    :param data_centres: the data centre of each replica, by the replica's name
+    :param data_centre: the one that the part is handed to
     """
     salt = zlib.crc32(request)
 
-    def place_and_turn(name: str) -> tuple[bool, int]:
-        turn = (salt ^ zlib.crc32(name.encode())) * _SPREAD & 0xFFFFFFFF
-        return data_centres[name] != data_centre, turn
+    def rank(name: str) -> tuple[bool, int]:
+        hashed = (salt ^ zlib.crc32(name.encode())) * _HASH_MULTIPLIER & 0xFFFFFFFF
+        return data_centres[name] != data_centre, hashed
 
-    return min(data_centres, key=place_and_turn)
+    return min(data_centres, key=rank)
 
 
 def preferred(own_name: str, names: abc.Collection[str], count: int) -> list[str]:
-    """Return a fixed few of some instances, others for each instance that asks."""
+    """
+    Return a fixed subset of instances, a different one for each calling instance.
+
+    :param own_name: the calling instance
+    :param names: the instances to select from
+    :param count: how many to select
+    """
     return heapq.nsmallest(count, names, key=lambda name: _rank(own_name, name))
 
 
--- a/src/turmericlug/direct/pool.py
+++ b/src/turmericlug/direct/pool.py
@@ -1,4 +1,4 @@
-"""The connections of one instance to one replica: bounded, reused, handed out by priority."""
+"""Connection pool for one replica: bounded, with reuse, waiters are served by priority."""
 
 from __future__ import annotations
 
@@ -13,49 +13,52 @@
 
 from turmericlug.http1 import client
 
-IDLE_S = 4.0
-"""Idle time after which a connection is not trusted, where no replica of the service has stated a
-limit."""
-IDLE_SHARE = 0.8
-"""Part of the stated limit within which an idle connection is used: the request must get there."""
-FRESH_S = 0.3
-"""Idle time within which a connection may carry a request that must not run twice: a reset on an
-idle connection leaves it unknown whether the request ran."""
-SPARE_IDLE_S = 1.0
-"""Idle time after which a connection beyond the first is closed. Instances that lose power leave
-their connections behind at the replica, which then resets the new ones of the restarted ones."""
-CONNECTIONS_SHARE = 0.85
-"""Part of a replica's connections that the instances divide: those of an instance that was killed
-stay open at the replica for a while."""
-
-_numbers = itertools.count()
-
-
-def connection_limit(most: int, instances: int) -> int:
+DEFAULT_IDLE_TIMEOUT_S = 4.0
+"""Idle time after which a connection is no longer used, if no replica of the service has advertised
+a keep-alive timeout."""
+IDLE_TIMEOUT_SHARE = 0.8
+"""Fraction of the advertised timeout during which an idle connection is used: the request has to
+reach the replica before the timeout ends."""
+MAX_FRESH_IDLE_S = 0.3
+"""Longest idle time of a connection that carries a request which must not run twice: after a reset
+of an idle connection it is unknown whether the request ran."""
+SPARE_IDLE_TIMEOUT_S = 1.0
+"""Idle time after which a connection beyond the first is closed. Connections of instances that lose
+power stay open at the replica, which then resets new connections after these instances restart."""
+USABLE_CONNECTIONS_SHARE = 0.85
+"""Fraction of a replica's connections that is divided among the instances. The rest is a reserve:
+the connections of a killed instance stay open at the replica for a while."""
+
+_waiter_numbers = itertools.count()
+
+
+def connection_limit(max_connections: int, instances: int) -> int:
     """
-    Return how many connections one instance may keep to one replica.
+    Return how many connections one instance may open to one replica.
 
-    :param most: what the replica takes from all callers
-    :param instances: how many instances divide them
+    :param max_connections: how many the replica accepts from all callers together
+    :param instances: the number of instances that send to the replica
     """
-    return max(1, int(most * CONNECTIONS_SHARE / max(instances, 1)))
+    return max(1, int(max_connections * USABLE_CONNECTIONS_SHARE / max(instances, 1)))
 
 
 @attrs.define
 class KeepAliveTimeout:
     """
-    The shortest time for which a replica of a service has said that it keeps an idle connection.
+    The shortest keep-alive timeout that any replica of a service has advertised in a response.
 
-    A connection that was opened ahead of need has carried no response that could say so. Dropped
-    sooner than replicas state, it is opened again and again.
+    It applies to prewarmed connections, which have carried no response yet. Closing these earlier
+    than the replicas require would reopen them again and again.
     """
 
-    idle_s: float | None = None
+    timeout_s: float | None = None
 
-    def learn(self, stated_s: float | None) -> None:
-        """Take note of what a response stated."""
-        if stated_s is not None:
-            self.idle_s = stated_s if self.idle_s is None else min(self.idle_s, stated_s)
+    def record(self, advertised_s: float | None) -> None:
+        """Record the timeout that a response advertised, if any."""
+        if advertised_s is not None:
+            self.timeout_s = (
+                advertised_s if self.timeout_s is None else min(self.timeout_s, advertised_s)
+            )
 
 
 Connect = abc.Callable[[], abc.Awaitable[client.Connection]]
@@ -63,30 +66,33 @@
 
 @attrs.define
 class Pool:
-    """Open, idle and awaited connections to one replica."""
+    """The open and idle connections to one replica, and the tasks that wait for one."""
 
     connect: Connect
     limit: abc.Callable[[], int]
     now_s: abc.Callable[[], float]
-    spare_idle_timeout_s: float = SPARE_IDLE_S
+    spare_idle_timeout_s: float = SPARE_IDLE_TIMEOUT_S
     keep_alive: KeepAliveTimeout = attrs.field(factory=KeepAliveTimeout)
     """Shared by the replicas of a service."""
     closed: bool = False
-    """Whether the replica is gone: nothing is lent any more."""
+    """Whether the replica was removed. A closed pool provides no connections."""
     open_count: int = 0
+    """Connections that are open or being opened."""
     opened: int = 0
+    """Connections opened since the pool was created."""
     opened_ahead: int = 0
+    """Those of them that were prewarmed."""
     _idle: collections.deque[client.Connection] = attrs.field(factory=collections.deque)
-    _waiting: list[tuple[int, int, asyncio.Future[None]]] = attrs.field(factory=list)
+    _waiters: list[tuple[int, int, asyncio.Future[None]]] = attrs.field(factory=list)
 
     @property
     def waiting(self) -> int:
-        """How many sends wait for a connection."""
-        return len(self._waiting)
+        """The number of attempts that wait for a connection."""
+        return len(self._waiters)
 
     @property
     def has_idle(self) -> bool:
-        """Whether a connection is open that nothing uses."""
+        """Whether there is an idle connection."""
         return bool(self._idle)
 
     @contextlib.asynccontextmanager
@@ -94,23 +100,23 @@
         self, priority: int, fresh: bool = False
     ) -> abc.AsyncIterator[client.Connection]:
         """
-        Lend a connection for one exchange; one that was left in use is closed.
+        Provide a connection for one exchange; close it if the exchange is interrupted.
 
-        :param priority: 0 goes first among those that wait
-        :param fresh: whether only a connection will do that was in use a moment ago or is new
-        :raises ConnectError: none could be opened
+        :param priority: order among the waiters; 0 goes first
+        :param fresh: whether the connection has to be new or recently used
+        :raises ConnectError: a connection could not be opened, or the pool is closed
         """
-        connection = await self._take(priority, fresh)
-        lent_exchanges = connection.exchanges
+        connection = await self._acquire(priority, fresh)
+        exchanges_before = connection.exchanges
         try:
             yield connection
         except BaseException:
             connection.close()
             raise
         finally:
-            self._give_back(connection, used=connection.exchanges > lent_exchanges)
+            self._release(connection, used=connection.exchanges > exchanges_before)
 
-    async def _take(self, priority: int, fresh: bool) -> client.Connection:
+    async def _acquire(self, priority: int, fresh: bool) -> client.Connection:
         while True:
             if self.closed:
                 raise client.ConnectError("replica gone")
@@ -120,7 +126,7 @@
             if self.open_count < self.limit():
                 return await self._open()
             if fresh and self._idle:
-                self._drop(self._idle.popleft())
+                self._discard(self._idle.popleft())
                 continue
             await self._wait(priority)
 
@@ -130,7 +136,7 @@
             connection = await self.connect()
         except BaseException:
             self.open_count -= 1
-            self._wake()
+            self._wake_next()
             raise
         self.opened += 1
         connection.idle_since_s = self.now_s()
@@ -140,37 +146,37 @@
         while self._idle:
             connection = self._idle[-1]
             age_s = self.now_s() - connection.idle_since_s
-            if connection.closed or age_s > self._trusted_s(connection):
-                self._drop(self._idle.pop())
-            elif fresh and age_s > FRESH_S:
+            if connection.closed or age_s > self._max_idle_s(connection):
+                self._discard(self._idle.pop())
+            elif fresh and age_s > MAX_FRESH_IDLE_S:
                 return None
             else:
                 return self._idle.pop()
         return None
 
     async def _wait(self, priority: int) -> None:
-        turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        entry = (priority, next(_numbers), turn)
-        heapq.heappush(self._waiting, entry)
+        available: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        entry = (priority, next(_waiter_numbers), available)
+        heapq.heappush(self._waiters, entry)
         try:
-            await turn
+            await available
         except asyncio.CancelledError:
-            if entry in self._waiting:
-                self._waiting.remove(entry)
-                heapq.heapify(self._waiting)
-            elif turn.done() and not turn.cancelled():
-                # The turn came at the same moment: the next in line takes it.
-                self._wake()
+            if entry in self._waiters:
+                self._waiters.remove(entry)
+                heapq.heapify(self._waiters)
+            elif available.done() and not available.cancelled():
+                # Woken and cancelled at the same time: pass the wake-up to the next waiter.
+                self._wake_next()
             raise
 
-    def _wake(self) -> None:
-        while self._waiting:
-            _, _, turn = heapq.heappop(self._waiting)
-            if not turn.done():
-                turn.set_result(None)
+    def _wake_next(self) -> None:
+        while self._waiters:
+            _, _, available = heapq.heappop(self._waiters)
+            if not available.done():
+                available.set_result(None)
                 return
 
-    def _give_back(self, connection: client.Connection, used: bool) -> None:
+    def _release(self, connection: client.Connection, used: bool) -> None:
         if self.closed and not connection.closed:
             connection.close()
         if connection.closed:
@@ -178,17 +184,17 @@
         else:
             if used:
                 connection.idle_since_s = self.now_s()
-                self.keep_alive.learn(connection.keep_idle_s)
+                self.keep_alive.record(connection.keep_idle_s)
             self._idle.append(connection)
-        self._wake()
+        self._wake_next()
 
-    def _drop(self, connection: client.Connection) -> None:
+    def _discard(self, connection: client.Connection) -> None:
         connection.close()
         self.open_count -= 1
 
     async def warm(self) -> None:
         """
-        Open a first connection ahead of need, if there is none.
+        Open a connection before it is needed, if none is open.
 
         :raises ConnectError: it could not be opened
         """
@@ -196,45 +202,49 @@
             connection = await self._open()
             self.opened_ahead += 1
             self._idle.append(connection)
-            self._wake()
+            self._wake_next()
 
     async def probe(self) -> None:
         """
-        Open a connection to find out whether the replica takes any, and keep it if there is room.
+        Check that the replica accepts a connection; keep the connection if the limit permits.
 
         :raises ConnectError: it could not be opened
         """
         connection = await self._open()
         if self.open_count > self.limit() or self.closed:
-            self._drop(connection)
+            self._discard(connection)
             return
         self._idle.append(connection)
-        self._wake()
+        self._wake_next()
 
     def trim(self) -> None:
-        """Close what is idle for longer than it is trusted, and spare ones sooner."""
+        """Close idle connections after their timeout, and spare ones after a shorter one."""
         for connection in list(self._idle):
             age_s = self.now_s() - connection.idle_since_s
             spare = self.open_count > 1 and age_s > self.spare_idle_timeout_s
-            if connection.closed or spare or age_s > self._trusted_s(connection):
+            if connection.closed or spare or age_s > self._max_idle_s(connection):
                 self._idle.remove(connection)
-                self._drop(connection)
-        self._wake()
+                self._discard(connection)
+        self._wake_next()
 
     def close(self) -> None:
         """
-        Close the idle connections; those in use close when they come back.
+        Close the idle connections; those in use are closed when they are released.
 
-        What waits for one fails at once, so that it can be sent to another replica in time.
+        Waiters fail at once, so that their requests can be sent to another replica in time.
         """
         self.closed = True
         while self._idle:
-            self._drop(self._idle.popleft())
-        while self._waiting:
-            self._wake()
-
-    def _trusted_s(self, connection: client.Connection) -> float:
-        stated_s = connection.keep_idle_s
-        if stated_s is None:
-            stated_s = self.keep_alive.idle_s
-        return IDLE_S if stated_s is None else min(stated_s * IDLE_SHARE, 60.0)
+            self._discard(self._idle.popleft())
+        while self._waiters:
+            self._wake_next()
+
+    def _max_idle_s(self, connection: client.Connection) -> float:
+        advertised_s = connection.keep_idle_s
+        if advertised_s is None:
+            advertised_s = self.keep_alive.timeout_s
+        return (
+            DEFAULT_IDLE_TIMEOUT_S
+            if advertised_s is None
+            else min(advertised_s * IDLE_TIMEOUT_SHARE, 60.0)
+        )
--- a/src/turmericlug/direct/replica.py
+++ b/src/turmericlug/direct/replica.py
@@ -1,4 +1,4 @@
-"""One replica and the sends under way to it, as this instance has seen them."""
+"""The state of one replica and of the attempts sent to it, as observed by this instance."""
 
 from __future__ import annotations
 
@@ -10,45 +10,47 @@
 from turmericlug.direct import routes
 from turmericlug.owner import policy
 
-PACE_GAIN = 0.2
-"""Weight of a new time in a replica's pace: about the last nine sends count."""
-PACE_HALF_LIFE_S = 3.0
-"""A replica rated slow is hardly tried; its rating fades so that it is tried again."""
+EWMA_WEIGHT = 0.2
+"""Weight of a new observation in the moving averages: about the last nine attempts count."""
+DECAY_HALF_LIFE_S = 3.0
+"""A replica rated slow gets hardly any requests, so its rating decays until it is tried again."""
 SHED_BACKOFF_S = 0.15
-"""A replica that was full is passed over for a few service times, so that its queue can drain."""
+"""A replica that shed a request is skipped for a few service times, so that its queue can drain."""
 MISDIRECTED_PAUSE_S = 10.0
-"""Time for which nothing is sent to an address that was found to be another replica's. The news of
-the end is there by then, unless the store is away for longer; then one more is sent."""
+"""Time for which nothing is sent to an address at which another replica answers. By then the store
+has reported that the replica is gone, unless it is unreachable for longer; then one more request is
+sent."""
 FAILURES_TO_EJECT = 2
-MOST_COLD_S = 600.0
-"""Longer than any replica takes to warm up; a larger figure of an entry is not believed."""
+"""Consecutive failures after which a replica is ejected for a time."""
+MAX_COLD_S = 600.0
+"""Longer than any replica takes to warm up; a larger value in an entry is reduced to this."""
 
 
 @attrs.define(eq=False)
 class Attempt:
-    """One request under way to a replica."""
+    """One request sent to a replica."""
 
     began_s: float
     overdue_after_s: float
     instance: str = ""
-    """The replica."""
+    """Name of the replica."""
     written_s: float | None = None
-    """When it had a connection and was written."""
+    """When the request was written to a connection; ``None`` before."""
     ended_s: float | None = None
     ran: bool = True
-    """False once it has ended and the replica certainly did not run it."""
+    """False once the attempt has ended and the replica is known not to have run the request."""
     unwanted: bool = False
-    """Whether it is not to be written any more."""
+    """Whether the request must no longer be written."""
     timeout: asyncio.Timeout | None = None
-    """Ends it; moved forward once nobody waits for it."""
+    """Ends the attempt; brought forward once its response is no longer needed."""
 
     def end_by(self, at_s: float) -> None:
-        """Take it for lost at a time, if that is sooner than its present limit."""
+        """End the attempt at a given time, if that is before its current timeout."""
         if self.ended_s is None and self.timeout is not None and not self.timeout.expired():
             self.timeout.reschedule(min(at_s, self.timeout.when() or at_s))
 
     def told(self, now_s: float) -> str:
-        """Describe where it stands, for the log."""
+        """Describe the state of the attempt for the log."""
         if self.written_s is None:
             return f"{self.instance} waits {(now_s - self.began_s) * 1000:.0f} ms to be sent"
         state = "ended" if self.ended_s is not None else "open"
@@ -59,102 +61,110 @@
 
 @attrs.define(eq=False)
 class Replica:
-    """One replica, with what this instance has seen of it."""
+    """A replica, with what this instance has observed of it."""
 
     entry: routes.ReplicaEntry
     pool: pool_module.Pool
     sends: set[Attempt] = attrs.field(factory=set)
+    """Attempts in flight."""
     relative_latency: float = 1.0
-    """Its times as a multiple of what is usual in its data centre."""
+    """Moving average of its latency, as a multiple of the usual latency in its data centre."""
     relative_latency_at_s: float = 0.0
     failure_rate: float = 0.0
-    """Recent share of failures."""
+    """Moving average of the fraction of attempts that fail."""
     failures: int = 0
+    """Failures since the last success."""
     ejections: int = 0
+    """Ejections since the last success."""
     ejected_until_s: float = 0.0
     shed_until_s: float = 0.0
     shed_share: float = 0.0
-    """Recent share of the sends that it has shed."""
+    """Moving average of the fraction of attempts that it sheds."""
     shed_at_s: float = 0.0
     cold_since_s: float = 0.0
     cold_until_s: float = 0.0
     cold_sent_s: float = float("-inf")
-    """When it was last sent a request while it was cold."""
+    """When it was last sent a request while cold."""
     misdirected_until_s: float = 0.0
-    """Until when its address is taken for another replica's."""
+    """Time until which its address is assumed to belong to another replica."""
     leaving: bool = False
-    """It drains, or its entry is gone and perhaps only for a moment."""
+    """Whether it drains, or its entry is missing, perhaps only temporarily."""
 
     def current_relative_latency(self, now_s: float) -> float:
-        """Return the pace, faded towards the usual with the time since it was measured."""
-        fade = 0.5 ** ((now_s - self.relative_latency_at_s) / PACE_HALF_LIFE_S)
-        return 1.0 + (self.relative_latency - 1.0) * fade
+        """Return the relative latency, which decays to 1 with the time since it was measured."""
+        decay = 0.5 ** ((now_s - self.relative_latency_at_s) / DECAY_HALF_LIFE_S)
+        return 1.0 + (self.relative_latency - 1.0) * decay
 
     def current_shed_share(self, now_s: float) -> float:
-        """Return the share of sends that it sheds, faded with the time since it last did."""
-        return self.shed_share * 0.5 ** ((now_s - self.shed_at_s) / PACE_HALF_LIFE_S)
+        """Return the fraction of attempts that it sheds, decayed since it last shed one."""
+        return self.shed_share * 0.5 ** ((now_s - self.shed_at_s) / DECAY_HALF_LIFE_S)
 
     def record_shed(self, now_s: float) -> None:
-        """Take note that it did not run a request as it has no room."""
-        self.shed_share = self.current_shed_share(now_s) * (1 - PACE_GAIN) + PACE_GAIN
+        """Record that the replica was overloaded and did not run a request."""
+        self.shed_share = self.current_shed_share(now_s) * (1 - EWMA_WEIGHT) + EWMA_WEIGHT
         self.shed_at_s = now_s
         self.shed_until_s = now_s + SHED_BACKOFF_S
 
     def is_cold(self, now_s: float) -> bool:
-        """Whether it was started or has lost its caches so lately that it bears few requests."""
+        """Whether it takes few requests as it has recently started or lost its caches."""
         return now_s < self.cold_until_s
 
     def record_cold(self, left_ms: float, now_s: float) -> None:
-        """Take note of how much longer it is cold; nothing known is shortened."""
+        """Record the remaining warm-up time; never shorten a known one."""
         if left_ms <= 0:
             return
         if not self.is_cold(now_s):
             self.cold_since_s = now_s
-        until_s = now_s + min(left_ms / 1000, MOST_COLD_S)
+        until_s = now_s + min(left_ms / 1000, MAX_COLD_S)
         self.cold_until_s = max(self.cold_until_s, until_s)
 
     def overdue(self, now_s: float) -> bool:
-        """Whether a send has gone unanswered for longer than a slow one takes."""
+        """Whether an attempt has been in flight for longer than a slow one takes."""
         return any(now_s - send.began_s > send.overdue_after_s for send in self.sends)
 
     def set_aside(self, now_s: float) -> bool:
-        """Whether it failed lately and is not due for its next trial."""
+        """Whether it recently failed, shed or was misdirected, and is not due for another try."""
         if now_s < self.ejected_until_s or now_s < self.shed_until_s or self.is_misdirected(now_s):
             return True
         return self.ejections > 0 and bool(self.sends)
 
     def is_misdirected(self, now_s: float) -> bool:
-        """Whether another replica has lately answered at its address."""
+        """Whether another replica has recently answered at its address."""
         return now_s < self.misdirected_until_s
 
     def record_misdirected(self, now_s: float) -> None:
         """
-        Take note that another replica answers at its address: this one has ended.
+        Record that another replica answers at its address, so that this one is gone.
 
-        While the store is away nothing else tells so. Tried again like one that was full, its
-        address got a request every 0.15 s from each instance, each one more arrival at the service
-        that has the address now; those are counted against the extra sends of that service.
+        While the store is unreachable there is no other sign of this. With the short backoff of a
+        replica that sheds, each instance would send a request to the address every 0.15 s. Each
+        request would reach the service that now has the address, and count as an extra attempt of
+        that service.
         """
         self.misdirected_until_s = now_s + MISDIRECTED_PAUSE_S
 
-    def record_success(self, duration_ms: float, usual_ms: float, now_s: float) -> None:
-        """Take note of an answer."""
-        ratio = duration_ms / max(usual_ms, 0.1)
+    def record_success(self, duration_ms: float, median_ms: float, now_s: float) -> None:
+        """
+        Record a successful attempt.
+
+        :param median_ms: the usual duration in the replica's data centre
+        """
+        ratio = duration_ms / max(median_ms, 0.1)
         self.relative_latency = (
-            self.current_relative_latency(now_s) * (1 - PACE_GAIN) + ratio * PACE_GAIN
+            self.current_relative_latency(now_s) * (1 - EWMA_WEIGHT) + ratio * EWMA_WEIGHT
         )
         self.relative_latency_at_s = now_s
-        self.failure_rate *= 1 - PACE_GAIN
-        self.shed_share *= 1 - PACE_GAIN
+        self.failure_rate *= 1 - EWMA_WEIGHT
+        self.shed_share *= 1 - EWMA_WEIGHT
         self.failures = self.ejections = 0
 
     def record_failure(self, now_s: float) -> bool:
         """
-        Take note of a failure.
+        Record a failed attempt.
 
-        :returns: whether the replica is set aside by it
+        :returns: whether the replica is ejected because of it
         """
-        self.failure_rate += (1 - self.failure_rate) * PACE_GAIN
+        self.failure_rate += (1 - self.failure_rate) * EWMA_WEIGHT
         self.failures += 1
         if self.failures < FAILURES_TO_EJECT:
             return False
--- a/src/turmericlug/direct/replicas.py
+++ b/src/turmericlug/direct/replicas.py
@@ -1,4 +1,4 @@
-"""The replicas of all services as this instance sees them: who is there, how fast, how reliable."""
+"""The replicas of all services as this instance observes them, and the choice between them."""
 
 from __future__ import annotations
 
@@ -18,72 +18,72 @@
 from turmericlug.telemetry import decisions
 
 LOAD_FACTOR = 0.3
-"""Slow-down that each send under way to a replica adds to the next one, as a share of its usual
-time: with two slots and other instances' sends a third of it is felt on average."""
+"""Delay that each attempt in flight to a replica adds to the next one, as a fraction of the usual
+latency: with two slots and the attempts of other instances it is about a third on average."""
 DISTANCE_FACTORS = (1.0, 1.1, 1.25)
-"""A replica of another data centre or region is taken only where it is clearly faster: bytes
-between them are what the platform charges most for."""
+"""Latency factors by distance. A replica in another data centre or region is chosen only if it is
+clearly faster, since the platform's highest charge is for the bytes between them."""
 CONNECT_SHARE = 0.5
-"""Time to open a connection, as a share of a usual send: a round trip and a handshake."""
+"""Time to open a connection (a round trip and a handshake), as a fraction of the usual latency."""
 OVERDUE_FACTOR = 6.0
-"""A replica with an overdue send is taken only where the other is six times as slow: a pause lasts
-200 to 300 ms, several times a usual part."""
-TROUBLE_FACTOR = 3.0
-"""A replica that fails all its requests counts as four times as slow before it is set aside."""
+"""A replica with an overdue attempt is chosen only if the others are more than six times as slow: a
+pause of a replica lasts 200 to 300 ms, several times the usual latency of a part."""
+FAILURE_FACTOR = 3.0
+"""A replica that fails all requests counts as four times as slow until it is ejected."""
 SHED_FACTOR = 10.0
-"""A replica that sheds six of ten counts as seven times as slow then: more than one in another
-region, which takes four times as long. Sent to again after each pause, it uses up the extra sends
-of every instance, and queries fail for want of them."""
-REMOTE_GUESS_MS = 60.0
-LOCAL_GUESS_MS = 30.0
-"""Before there are measured times, replicas of the own region go first."""
-WARM_AT_ONCE = 8
-"""Connections opened ahead in one round: a handshake holds a slot of the replica for 6 ms."""
+"""A replica that sheds six of ten requests counts as seven times as slow, more than one in another
+region, which takes four times as long. If it were tried again after each backoff, it would exhaust
+the retry budget of every instance, and queries would fail."""
+DEFAULT_REMOTE_MS = 60.0
+DEFAULT_LOCAL_MS = 30.0
+"""Assumed until there are measurements, so that replicas in the same region are preferred."""
+MAX_WARMED_PER_ROUND = 8
+"""Connections prewarmed in one round: a handshake occupies a slot of the replica for 6 ms."""
 
 
-class Times:
-    """Recent times of one route's sends to the replicas of one data centre."""
+class RecentLatencies:
+    """Recent latencies of one route's attempts to the replicas of one data centre."""
 
-    def __init__(self, guess_ms: float) -> None:
+    def __init__(self, default_ms: float) -> None:
         self._recent = policy.RecentTimes()
-        self._guess_ms = guess_ms
+        self._default_ms = default_ms
 
     def add(self, duration_ms: float) -> None:
-        """Record the duration of one send."""
+        """Record the duration of an attempt."""
         self._recent.add(duration_ms)
 
     @property
     def median_ms(self) -> float:
-        """The usual duration, or a guess before there are enough."""
-        return self._recent.percentile_ms(50) or self._guess_ms
+        """The median, or a default until there are enough measurements."""
+        return self._recent.percentile_ms(50) or self._default_ms
 
     @property
-    def slow_ms(self) -> float | None:
-        """The 85th percentile, or ``None`` before there are enough."""
+    def p85_ms(self) -> float | None:
+        """The 85th percentile, or ``None`` until there are enough measurements."""
         return self._recent.percentile_ms(85)
 
 
-def _is_another(known: routes.ReplicaEntry, entry: routes.ReplicaEntry) -> bool:
-    """Whether an entry is of another start than the one before, or of another place altogether."""
-    places = [(each.service, each.host, each.port) for each in (known, entry)]
-    return known.born_ms != entry.born_ms or places[0] != places[1]
+def _is_other_replica(known: routes.ReplicaEntry, entry: routes.ReplicaEntry) -> bool:
+    """Whether an entry is from another start than the known one, or from another endpoint."""
+    endpoints = [(each.service, each.host, each.port) for each in (known, entry)]
+    return known.born_ms != entry.born_ms or endpoints[0] != endpoints[1]
 
 
 NO_REPLICA = "no_replica"
-"""Reason of what was not sent because no replica is known to take it."""
+"""Reason for not sending a request: no replica is available."""
 EVACUATED = "evacuated"
-"""Reason of what was not sent because the replicas are in evacuated data centres."""
+"""Reason for not sending a request: the replicas are in evacuated data centres."""
 OUT_OF_REGION = "out_of_region"
-"""Reason of what was not sent because no replica is in a region that the route allows."""
+"""Reason for not sending a request: no replica is in a region that the route allows."""
 COLD = "cold"
-"""Reason of what was not sent because all replicas have had their share while they are cold."""
+"""Reason for not sending a request: cold replicas have already got this instance's share."""
 
 ColdLimit = abc.Callable[[routes.ReplicaEntry], warm_up.Share]
 MakePool = abc.Callable[[routes.ReplicaEntry], pool_module.Pool]
 
 
 class Replicas:
-    """All replicas by service, with the shared times of routes and budgets of services."""
+    """All replicas by service, with the latencies of the routes and the services' retry budgets."""
 
     def __init__(
         self,
@@ -98,20 +98,20 @@
             dict
         )
         self._by_instance: dict[str, replica_module.Replica] = {}
-        self._times: dict[tuple[str, str], Times] = {}
-        self._budgets: dict[str, budget.ExtraSends] = {}
+        self._latencies: dict[tuple[str, str], RecentLatencies] = {}
+        self._budgets: dict[str, budget.RetryBudget] = {}
         self.evacuated: dict[str, float] = {}
-        """Data centres whose replicas get nothing, with the time since when."""
+        """Data centres whose replicas get no requests, with the start time of the evacuation."""
         self.cold_limit: ColdLimit = lambda entry: warm_up.UNLIMITED
-        """Tells what this instance may send to a cold replica."""
+        """Returns the share of a cold replica's request rate that this instance may send."""
         self.on_lost: abc.Callable[[replica_module.Replica], None] = lambda replica: None
-        """Called when a replica is gone that had not said it would leave."""
+        """Called when a replica is removed that was not leaving."""
 
     def __len__(self) -> int:
         return len(self._by_instance)
 
     def connections(self) -> dict[str, int]:
-        """Count the connections that are open, and those opened to the replicas there are."""
+        """Count the open connections to the current replicas, and all opened to these so far."""
         pools = [(each.pool, self.in_own_region(each.entry.data_centre)) for each in self.all()]
         return {
             "open": sum(pool.open_count for pool, _ in pools),
@@ -130,22 +130,22 @@
 
     def put(self, entry: routes.ReplicaEntry, now_s: float = 0.0) -> bool:
         """
-        Add a replica or take over its new entry.
+        Add a replica or update its entry.
 
-        One that was started again under its name is another replica: the pace, the failures and the
-        connections of its former self say nothing of it, and what is under way to that may have run
-        or not.
+        A replica that restarted under the same name is handled as a new one: the latency, failures
+        and connections from before its restart no longer apply, and requests in flight to it may or
+        may not have run.
 
-        :param now_s: when the entry was learned; what a replica has left of being cold counts on
-        :returns: whether anything that matters has changed
+        :param now_s: when the entry was received; the remaining warm-up time counts from then
+        :returns: whether the set of eligible replicas may have changed
         """
         known = self._by_instance.get(entry.instance)
-        if known is not None and _is_another(known.entry, entry):
+        if known is not None and _is_other_replica(known.entry, entry):
             decisions.log("replica.restarted", replica=entry.instance, service=entry.service)
             self.remove(entry.instance)
             known = None
         if known is not None and entry.sequence < known.entry.sequence:
-            # Said before what is known, by a copy of the source or a write carried out late.
+            # Older than the known entry: from a copy of the source or a write that was delayed.
             return False
         if known is None:
             replica = replica_module.Replica(entry, self._make_pool(entry), leaving=entry.draining)
@@ -164,28 +164,33 @@
 
     async def warm(self, now_s: float, wanted: abc.Callable[[str], bool], far: bool) -> None:
         """
-        Open a first connection to replicas that have none.
+        Open a first connection to each replica that has none.
 
-        A hedge goes to the replica that is not used otherwise. A new connection takes a round trip
-        and a handshake, a large part of an urgent query's goal between regions.
+        A hedge goes to a replica that is otherwise not in use. Opening a connection to it takes a
+        round trip and a handshake, which between regions is a large part of an urgent query's
+        latency goal.
 
-        Far replicas are left cold where instances are many: replicas close idle connections, so
-        that an owner opens them again and again and hardly uses any. The same goes for a service
-        without a replica near, whose parts are handed to an instance there.
+        Where instances are many, replicas in other regions get no connection: replicas close idle
+        connections, so that an owner would reopen them again and again and hardly use them. The
+        same applies to a service without a replica in this region: its parts are handed to a peer
+        in another region.
 
-        :param wanted: whether this instance is to send to a service's replicas
-        :param far: whether replicas of other regions get one as well
+        :param now_s: the current time
+        :param wanted: whether this instance sends to a service's replicas
+        :param far: whether to connect to replicas in other regions as well
         """
-        cold = [
+        unconnected = [
             each
             for service, replicas in self._by_service.items()
             if wanted(service)
-            for each in self._worth_warming(replicas.values(), far)
-            if each.pool.open_count == 0 and self._is_open(each) and not each.set_aside(now_s)
+            for each in self._to_warm(replicas.values(), far)
+            if each.pool.open_count == 0 and self._is_eligible(each) and not each.set_aside(now_s)
         ]
-        await asyncio.gather(*(self._warm(each, now_s) for each in cold[:WARM_AT_ONCE]))
+        await asyncio.gather(
+            *(self._warm(each, now_s) for each in unconnected[:MAX_WARMED_PER_ROUND])
+        )
 
-    def _worth_warming(
+    def _to_warm(
         self, replicas: abc.Collection[replica_module.Replica], far: bool
     ) -> list[replica_module.Replica]:
         near = [each for each in replicas if self.in_own_region(each.entry.data_centre)]
@@ -206,42 +211,42 @@
             )
 
     def evacuate(self, data_centre: str, now_s: float) -> None:
-        """Send nothing more to the replicas of a data centre; what is under way may finish."""
+        """Stop sending to the replicas of a data centre; requests in flight may finish."""
         self.evacuated.setdefault(data_centre, now_s)
 
     def end_evacuation(self, data_centre: str, now_s: float) -> float:
         """
-        Let the replicas of a data centre get requests again.
+        Resume sending to the replicas of a data centre.
 
-        :returns: how long it was evacuated, in seconds
+        :returns: the duration of the evacuation in seconds
         """
         return now_s - self.evacuated.pop(data_centre, now_s)
 
-    def _is_open(self, replica: replica_module.Replica) -> bool:
+    def _is_eligible(self, replica: replica_module.Replica) -> bool:
         return not replica.leaving and replica.entry.data_centre not in self.evacuated
 
     def eligible(self, service: str, route: routes.Route) -> list[replica_module.Replica]:
-        """Return the replicas of a service that may get a request of a route."""
+        """Return the replicas of a service that may get a request of a route, available or not."""
         return [
             each
             for each in self._by_service.get(service, {}).values()
-            if self._is_open(each) and self._place.allows(route.regions, each.entry.data_centre)
+            if self._is_eligible(each) and self._place.allows(route.regions, each.entry.data_centre)
         ]
 
     def common(self, service: str, route: routes.Route, request_id: bytes, data_centre: str) -> str:
         """
-        Return the replica that all instances of a data centre may send a handed part to.
+        Return the replica to which any instance of a data centre may send a handed part.
 
-        Empty where replicas are so few that no send can reach too many.
+        :returns: an empty string if there are no more replicas than a request may be sent to
         """
         replicas = self.eligible(service, route)
         if len(replicas) <= route.max_attempts:
             return ""
-        places = {each.entry.instance: each.entry.data_centre for each in replicas}
-        return placement.common_replica(request_id, places, data_centre)
+        data_centres = {each.entry.instance: each.entry.data_centre for each in replicas}
+        return placement.common_replica(request_id, data_centres, data_centre)
 
     def no_replica_reason(self, service: str, route: routes.Route, now_s: float) -> str:
-        """Return why a request can be sent to no replica of a service, as a reason."""
+        """Return the reason for which no replica of a service can get a request."""
         known = self._by_service.get(service, {}).values()
         allowed = [
             each for each in known if self._place.allows(route.regions, each.entry.data_centre)
@@ -249,21 +254,21 @@
         if known and not allowed:
             return OUT_OF_REGION
         staying = [each for each in allowed if not each.leaving]
-        if staying and not any(map(self._is_open, staying)):
+        if staying and not any(map(self._is_eligible, staying)):
             return EVACUATED
-        if any(not self.may_take(each, now_s) for each in self.eligible(service, route)):
+        if any(not self.cold_limit_allows(each, now_s) for each in self.eligible(service, route)):
             return COLD
         return NO_REPLICA
 
-    def may_take(self, replica: replica_module.Replica, now_s: float) -> bool:
-        """Whether a replica bears one more request from this instance, should it be cold."""
+    def cold_limit_allows(self, replica: replica_module.Replica, now_s: float) -> bool:
+        """Whether a replica is not cold, or this instance's share allows another request to it."""
         if not replica.is_cold(now_s):
             return True
         share = self.cold_limit(replica.entry)
         return share.allows(replica.cold_since_s, replica.cold_sent_s, now_s)
 
     def remove(self, instance: str) -> bool:
-        """Forget a replica; what is under way to it may finish."""
+        """Remove a replica; requests in flight to it may finish."""
         replica = self._by_instance.pop(instance, None)
         if replica is None:
             return False
@@ -274,31 +279,31 @@
         return True
 
     def instances(self) -> set[str]:
-        """Return the instances of all replicas."""
+        """Return the instance names of all replicas."""
         return set(self._by_instance)
 
-    def latencies(self, route: str, data_centre: str) -> Times:
-        """Return the recent times of a route's sends to a data centre."""
+    def latencies(self, route: str, data_centre: str) -> RecentLatencies:
+        """Return the recent latencies of a route's attempts to a data centre."""
         key = (route, data_centre)
-        if key not in self._times:
+        if key not in self._latencies:
             near = self.in_own_region(data_centre)
-            self._times[key] = Times(LOCAL_GUESS_MS if near else REMOTE_GUESS_MS)
-        return self._times[key]
+            self._latencies[key] = RecentLatencies(DEFAULT_LOCAL_MS if near else DEFAULT_REMOTE_MS)
+        return self._latencies[key]
 
     def in_own_region(self, data_centre: str) -> bool:
         """Whether a data centre is in this instance's region."""
         return self._place.distance(data_centre) < placement.OTHER_REGION
 
     def set_allowance(self, allowance: budget.Allowance) -> None:
-        """Go by another allowance of extra sends, for all services."""
+        """Change the allowance of all services' retry budgets."""
         self._allowance = allowance
         for each in self._budgets.values():
             each.set_allowance(allowance)
 
-    def retry_budget(self, service: str) -> budget.ExtraSends:
-        """Return the budget of a service."""
+    def retry_budget(self, service: str) -> budget.RetryBudget:
+        """Return the retry budget of a service."""
         if service not in self._budgets:
-            self._budgets[service] = budget.ExtraSends(self._allowance)
+            self._budgets[service] = budget.RetryBudget(self._allowance)
         return self._budgets[service]
 
     def choose(
@@ -309,21 +314,25 @@
         now_s: float,
     ) -> replica_module.Replica | None:
         """
-        Pick the replica that will probably answer first.
+        Return the replica that will probably answer first.
 
-        Replicas set aside are taken only when there is no other: an answer of an unreliable one is
-        worth more than none. One whose address is another's by now is never taken.
+        A replica that is set aside is chosen only if there is no other, since a response from an
+        unreliable replica is better than none. One at whose address another replica answers is
+        never chosen.
 
-        :param tried: those that this request has been sent to
+        :param tried: replicas to which the request has already been sent
+        :returns: ``None`` if there is no replica to choose
         """
         candidates = [
             each
             for each in self.eligible(service, route)
-            if not each.is_misdirected(now_s) and each not in tried and self.may_take(each, now_s)
+            if not each.is_misdirected(now_s)
+            and each not in tried
+            and self.cold_limit_allows(each, now_s)
         ]
-        sound = [each for each in candidates if not each.set_aside(now_s)]
+        available = [each for each in candidates if not each.set_aside(now_s)]
         return min(
-            sound or candidates,
+            available or candidates,
             key=lambda each: self.expected_ms(each, route, now_s),
             default=None,
         )
@@ -331,21 +340,21 @@
     def expected_ms(
         self, replica: replica_module.Replica, route: routes.Route, now_s: float
     ) -> float:
-        """Estimate how long a replica takes for one more request."""
-        usual_ms = self.latencies(route.name, replica.entry.data_centre).median_ms
+        """Estimate the latency of another request to a replica."""
+        median_ms = self.latencies(route.name, replica.entry.data_centre).median_ms
         load = 1 + LOAD_FACTOR * (len(replica.sends) + replica.pool.waiting)
-        expected_ms = usual_ms * replica.current_relative_latency(now_s) * load
+        expected_ms = median_ms * replica.current_relative_latency(now_s) * load
         expected_ms *= DISTANCE_FACTORS[self._place.distance(replica.entry.data_centre)]
-        expected_ms *= 1 + TROUBLE_FACTOR * replica.failure_rate
+        expected_ms *= 1 + FAILURE_FACTOR * replica.failure_rate
         expected_ms *= 1 + SHED_FACTOR * replica.current_shed_share(now_s)
         if not replica.pool.has_idle:
-            expected_ms += CONNECT_SHARE * usual_ms
+            expected_ms += CONNECT_SHARE * median_ms
         if replica.overdue(now_s):
             expected_ms *= OVERDUE_FACTOR
         return expected_ms
 
     def max_median_ms(self, service: str, route: routes.Route) -> float:
-        """Return the usual time of the farthest replica of a service."""
+        """Return the highest median latency among the data centres of a service's replicas."""
         return max(
             (
                 self.latencies(route.name, each.entry.data_centre).median_ms
@@ -355,6 +364,6 @@
         )
 
     def hedge_after_ms(self, replica: replica_module.Replica, route: routes.Route) -> float:
-        """Return the age at which a send to this replica counts as late."""
-        slow_ms = self.latencies(route.name, replica.entry.data_centre).slow_ms
-        return timing.hedge_after_ms(slow_ms, route.goal_ms)
+        """Return the age at which an attempt to this replica is late and may be hedged."""
+        p85_ms = self.latencies(route.name, replica.entry.data_centre).p85_ms
+        return timing.hedge_after_ms(p85_ms, route.goal_ms)
--- a/src/turmericlug/direct/routes.py
+++ b/src/turmericlug/direct/routes.py
@@ -1,8 +1,8 @@
 """
-Routes: ordered rules that say which services may answer a request, and how.
+The configured routes and services: which services may answer a request, and under what limits.
 
-A route matches a host and a path prefix. The rules of a host are kept longest prefix first, so that
-the first match decides, as with the operators' own rules.
+A route matches a host and a path prefix. The routes of a host are sorted by descending prefix
+length, so that the first match decides, as with the operators' own rules.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class WeightedService:
-    """One service of a route with the weight at which it takes the route's requests."""
+    """A service of a route and its weight in the distribution of the route's requests."""
 
     service: str
     weight: float
@@ -22,31 +22,37 @@
 
 @attrs.frozen
 class Route:
-    """What is to happen with the requests of one host below one path prefix."""
+    """How requests with a certain host and path prefix are handled."""
 
     name: str
     host: str
     prefix: str
     idempotent: bool
     timeout_ms: float
-    """The longest time a caller is kept waiting."""
+    """The longest time that a caller waits for an answer."""
     goal_ms: float
-    """The time within which an answer is worth most to its caller."""
+    """The latency goal: answers within this time have the most value for callers."""
     priority: int
-    """0 goes first."""
+    """The most urgent requests have 0."""
     max_attempts: int
-    """Replicas that one request may be sent to; of a query over shards, for each shard."""
+    """Replicas to which one request may be sent; for a query over shards the limit is per shard."""
     services: tuple[WeightedService, ...] = ()
-    """One of them answers; empty for a query over shards."""
+    """One of these answers the request; empty for a query over shards."""
     shards: tuple[str, ...] = ()
-    """Services that all hold a part of the answer."""
+    """The services that each hold a part of the answer; empty for other routes."""
     top_records: int = 0
+    """Number of records in the answer of a query over shards."""
     min_coverage: float = 0.0
+    """Fraction of the shards that an answer has to cover."""
     regions: frozenset[str] | None = None
-    """The only regions whose replicas and instances may get its requests; ``None``: any."""
+    """Requests go only to replicas and instances in these regions; ``None`` stands for all."""
 
     def restricted_to(self, regions: frozenset[str] | None) -> Route:
-        """Return this route where others may bind its requests to regions as well."""
+        """
+        Return this route with its regions intersected with others.
+
+        :param regions: regions that another setting allows; ``None`` stands for all
+        """
         if regions is None:
             return self
         both = regions if self.regions is None else self.regions & regions
@@ -55,28 +61,28 @@
 
 @attrs.frozen
 class Service:
-    """A service that replicas belong to."""
+    """A service and the limits that apply to each of its replicas."""
 
     name: str
     health_path: str
     max_connections: int
-    """Connections that one replica takes from all callers together."""
+    """Connections that one replica accepts from all callers together."""
     cold_rate_per_s: float = 0.0
-    """Requests a second that a cold replica bears from all instances together; 0: not limited."""
+    """Requests per second that a cold replica can take from all instances together; 0: no limit."""
 
 
 @attrs.define
 class Configuration:
-    """One version of all routes and services."""
+    """One version of the configured routes and services."""
 
     version: int
     routes: tuple[Route, ...]
     services: dict[str, Service]
     limits: messages.Limits
     key_regions: dict[bytes, frozenset[str]] = attrs.field(factory=dict)
-    """Regions that organisations are bound to, by the key that their callers show."""
+    """Regions to which organisations are restricted, by the API key of their callers."""
     shards: frozenset[str] = attrs.field(init=False, default=frozenset())
-    """Every service that is a shard of a route."""
+    """All services that are a shard of any route."""
     _by_host: dict[str, list[Route]] = attrs.field(init=False, factory=dict)
 
     def __attrs_post_init__(self) -> None:
@@ -87,13 +93,23 @@
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
 
     def regions_of(self, host: str) -> frozenset[str] | None:
-        """Return the regions that all bound routes of a host allow; ``None`` where none is."""
-        found = [each.regions for each in self._by_host.get(host.lower(), ())]
-        bound = [regions for regions in found if regions is not None]
-        return frozenset.intersection(*bound) or frozenset.union(*bound) if bound else None
+        """
+        Return the regions that all restricted routes of a host allow.
+
+        If the routes have no region in common, return the regions of all of them.
+
+        :returns: ``None`` if no route of the host is restricted to regions
+        """
+        of_routes = [each.regions for each in self._by_host.get(host.lower(), ())]
+        restricted = [regions for regions in of_routes if regions is not None]
+        return (
+            frozenset.intersection(*restricted) or frozenset.union(*restricted)
+            if restricted
+            else None
+        )
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of a request: the first rule whose prefix begins the path."""
+        """Return the route with the longest prefix that matches, or ``None``."""
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
@@ -102,7 +118,7 @@
 
 @attrs.frozen
 class ReplicaEntry:
-    """What a replica says of itself; each start of a replica is an instance of its own."""
+    """What a replica registers about itself; each start of a replica is a separate instance."""
 
     instance: str
     service: str
@@ -112,9 +128,9 @@
     slots: int
     draining: bool
     warmup_left_ms: float
-    """How much longer it is cold, as of the entry's writing."""
+    """Remaining warm-up time when the entry was written."""
     born_ms: int | None = None
-    """When it was started, in milliseconds since 1970, where it says so. A later one under the same
-    instance is another start, which knows nothing of before."""
+    """Start time in milliseconds since 1970, if the entry contains it. A later time under the same
+    instance name means that the replica has restarted and has lost its earlier state."""
     sequence: int = 0
-    """Counts what it has said since its start."""
+    """Number of the entry among those written since the start."""
--- a/tests/direct/test_budget.py
+++ b/tests/direct/test_budget.py
@@ -16,7 +16,7 @@
     [(0, 1, 40), (100, 1, 56), (0, 10, 4), (100, 10, 20)],
 )
 def test_allowed_in_one_window(requests, instances, allowed):
-    sends = budget.ExtraSends(ALLOWANCE)
+    sends = budget.RetryBudget(ALLOWANCE)
     for _ in range(requests):
         sends.count_request(100.0)
     spent = sum(sends.try_spend(100.0, 1 / instances) for _ in range(200))
@@ -36,7 +36,7 @@
     In no window of ten seconds may all of them together exceed the shared allowance, or the extra
     load keeps the replicas slow.
     """
-    shares = [budget.ExtraSends(ALLOWANCE) for _ in range(instances)]
+    shares = [budget.RetryBudget(ALLOWANCE) for _ in range(instances)]
     now_s, requests, extras = 1000.0, [], []
     for wanted, pause_s in steps:
         now_s += pause_s
@@ -65,7 +65,7 @@
     """
     allowance = budget.Allowance(ratio=0.2, slack=430.0, window_s=10.0)
     shares = [budget.slack_share(instances, owners, n < owners) for n in range(instances)]
-    sends = [budget.ExtraSends(allowance) for _ in range(instances)]
+    sends = [budget.RetryBudget(allowance) for _ in range(instances)]
     now_s, extras = 1000.0, []
     for wanted, pause_s in steps:
         now_s += pause_s
@@ -82,7 +82,7 @@
     sends an owner could do that for 11 of 20 in ten seconds, and the queries went without the rest.
     """
     allowance = budget.Allowance(ratio=0.2, slack=430.0, window_s=10.0)
-    owner = budget.ExtraSends(allowance)
+    owner = budget.RetryBudget(allowance)
     share = budget.slack_share(195, owners=4, is_owner=True)
     late = allowed = 0
     for number in range(600):
@@ -103,7 +103,7 @@
     ],
 )
 def test_another_allowance_counts_what_was_spent(ratio, slack, more):
-    sends = budget.ExtraSends(ALLOWANCE)
+    sends = budget.RetryBudget(ALLOWANCE)
     assert sum(sends.try_spend(100.0, 1) for _ in range(200)) == 40
     sends.set_allowance(budget.Allowance(ratio, slack, 10.0))
     assert sum(sends.try_spend(100.0, 1) for _ in range(200)) == more
--- a/tests/direct/test_peers.py
+++ b/tests/direct/test_peers.py
@@ -51,7 +51,7 @@
     async def main():
         async with handing.peer(handing.silent) as towards:
             await towards.peers.warm(shared=False)
-            (usual,) = towards.peers.usual_peers(shared=False)
+            (usual,) = towards.peers.preferred_peers(shared=False)
             assert usual.pool.open_count == 1
 
     asyncio.run(main())
@@ -65,7 +65,7 @@
     peers = replicas_module.Replicas(lambda entry: None, handing.PLACE, budget.Allowance())
     for number in range(instances):
         peers.put(routes.ReplicaEntry(f"e{number}", "far", "h", 1, "far", 1, False, 0))
-    usual = peers_module.Peers(peers, handing.PLACE).usual_peers(shared)
+    usual = peers_module.Peers(peers, handing.PLACE).preferred_peers(shared)
     assert least <= len(usual) <= most
 
 
--- a/tests/direct/test_placement.py
+++ b/tests/direct/test_placement.py
@@ -29,7 +29,7 @@
     """No instance owns more than its part: the slowest machine would decide every answer."""
     groups = placement.owners_by_group(names)
     counts = collections.Counter(name for owners in groups for name in owners)
-    assert all(len(set(owners)) == min(placement.OWNERS, len(names)) for owners in groups)
+    assert all(len(set(owners)) == min(placement.OWNERS_PER_GROUP, len(names)) for owners in groups)
     assert max(counts.values()) - min(counts.get(name, 0) for name in names) <= 1
 
 
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -415,7 +415,7 @@
     mutant.one(
         "started-again-is-the-same",
         "direct/replicas.py",
-        "    return known.born_ms != entry.born_ms or places[0] != places[1]",
+        "    return known.born_ms != entry.born_ms or endpoints[0] != endpoints[1]",
         "    return False",
         "entry/test_view.py::test_a_replica_that_starts_again_under_its_name_is_another_one",
     ),
