--- a/tests/direct/test_budget.py
+++ b/tests/direct/test_budget.py
@@ -1,4 +1,4 @@
-"""The share of extra sends."""
+"""Tests of the retry budget."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     ("requests", "instances", "allowed"),
     [(0, 1, 40), (100, 1, 56), (0, 10, 4), (100, 10, 20)],
 )
-def test_allowed_in_one_window(requests, instances, allowed):
-    sends = budget.RetryBudget(ALLOWANCE)
+def test_extra_attempts_in_one_window(requests, instances, allowed):
+    retries = budget.RetryBudget(ALLOWANCE)
     for _ in range(requests):
-        sends.count_request(100.0)
-    spent = sum(sends.try_spend(100.0, 1 / instances) for _ in range(200))
+        retries.count_request(100.0)
+    spent = sum(retries.try_spend(100.0, 1 / instances) for _ in range(200))
     assert spent == allowed
 
 
@@ -32,22 +32,22 @@
 )
 def test_no_window_exceeds_the_allowance_of_all_instances(steps, instances):
     """
-    Replicas turn slow and every instance sends again whenever it may, at any times.
-    In no window of ten seconds may all of them together exceed the shared allowance, or the extra
-    load keeps the replicas slow.
+    Replicas become slow, and every instance makes extra attempts whenever its budget allows, at
+    arbitrary times. If all together exceed the shared allowance in any window of ten seconds, the
+    extra load keeps the replicas slow.
     """
-    shares = [budget.RetryBudget(ALLOWANCE) for _ in range(instances)]
+    budgets = [budget.RetryBudget(ALLOWANCE) for _ in range(instances)]
     now_s, requests, extras = 1000.0, [], []
     for wanted, pause_s in steps:
         now_s += pause_s
-        for share in shares:
-            share.count_request(now_s)
+        for retries in budgets:
+            retries.count_request(now_s)
             requests.append(now_s)
-            extras += [now_s for _ in range(wanted) if share.try_spend(now_s, 1 / instances)]
+            extras += [now_s for _ in range(wanted) if retries.try_spend(now_s, 1 / instances)]
     for end_s in extras:
         in_window = sum(end_s - 10.0 < each <= end_s for each in extras)
-        asked = sum(end_s - 10.5 < each <= end_s for each in requests)
-        assert in_window <= ALLOWANCE.ratio * asked + ALLOWANCE.slack
+        requests_in_window = sum(end_s - 10.5 < each <= end_s for each in requests)
+        assert in_window <= ALLOWANCE.ratio * requests_in_window + ALLOWANCE.slack
 
 
 @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
@@ -58,28 +58,30 @@
     strategies.integers(1, 8),
     strategies.integers(13, 60),
 )
-def test_owners_and_all_others_together_keep_to_the_allowance(steps, owners, instances):
+def test_owners_and_other_instances_together_stay_within_the_allowance(steps, owners, instances):
     """
-    A shard's replicas turn slow. Its owners send again as often as they may, and so does every
-    other instance whose batch was lost. Together they must not exceed what all may send.
+    A shard's replicas become slow. Its owners make as many extra attempts as their budgets allow,
+    and so does every other instance whose batch was lost. Together they must not exceed the
+    allowance.
     """
     allowance = budget.Allowance(ratio=0.2, slack=430.0, window_s=10.0)
     shares = [budget.slack_share(instances, owners, n < owners) for n in range(instances)]
-    sends = [budget.RetryBudget(allowance) for _ in range(instances)]
+    budgets = [budget.RetryBudget(allowance) for _ in range(instances)]
     now_s, extras = 1000.0, []
     for wanted, pause_s in steps:
         now_s += pause_s
-        for each, share in zip(sends, shares, strict=True):
+        for each, share in zip(budgets, shares, strict=True):
             extras += [now_s for _ in range(wanted) if each.try_spend(now_s, share)]
     for end_s in extras:
         assert sum(end_s - 10.0 < each <= end_s for each in extras) <= allowance.slack
 
 
-def test_an_owner_among_many_has_extra_sends_to_make():
+def test_an_owner_among_many_instances_may_retry_all_failed_parts():
     """
-    Of 195 instances four send to a shard, 24 times a second, and one of its replicas crashes while
-    the other is slow: a third of the parts have to be sent again. With an even part of 430 extra
-    sends an owner could do that for 11 of 20 in ten seconds, and the queries went without the rest.
+    Four of 195 instances send to a shard, 24 times per second. One of its replicas crashes while
+    the other is slow, so that a third of the parts need a second attempt. With an even share of 430
+    extra attempts, an owner could retry only 11 of 20 parts in ten seconds, and the queries were
+    answered without the others.
     """
     allowance = budget.Allowance(ratio=0.2, slack=430.0, window_s=10.0)
     owner = budget.RetryBudget(allowance)
@@ -97,13 +99,13 @@
 @pytest.mark.parametrize(
     ("ratio", "slack", "more"),
     [
-        pytest.param(0.2, 50.0, 0, id="as before"),
-        pytest.param(0.2, 100.0, 40, id="more"),
-        pytest.param(0.1, 10.0, 0, id="less than was spent"),
+        pytest.param(0.2, 50.0, 0, id="unchanged"),
+        pytest.param(0.2, 100.0, 40, id="higher"),
+        pytest.param(0.1, 10.0, 0, id="lower than already spent"),
     ],
 )
-def test_another_allowance_counts_what_was_spent(ratio, slack, more):
-    sends = budget.RetryBudget(ALLOWANCE)
-    assert sum(sends.try_spend(100.0, 1) for _ in range(200)) == 40
-    sends.set_allowance(budget.Allowance(ratio, slack, 10.0))
-    assert sum(sends.try_spend(100.0, 1) for _ in range(200)) == more
+def test_a_changed_allowance_counts_attempts_already_made(ratio, slack, more):
+    retries = budget.RetryBudget(ALLOWANCE)
+    assert sum(retries.try_spend(100.0, 1) for _ in range(200)) == 40
+    retries.set_allowance(budget.Allowance(ratio, slack, 10.0))
+    assert sum(retries.try_spend(100.0, 1) for _ in range(200)) == more
--- a/tests/direct/test_peers.py
+++ b/tests/direct/test_peers.py
@@ -1,4 +1,4 @@
-"""Which instance sends to a shard's replicas."""
+"""Tests of the assignment of shards to peers."""
 
 from __future__ import annotations
 
@@ -30,7 +30,13 @@
         ({"x": ["further-1"], "y": ["further-2"], "z": ["further-3"]}, []),
         ({"x": [], "y": ["far-2"], "z": ["far-3"]}, [("y", "z")]),
     ],
-    ids=["far ones", "all near", "one alone", "nobody there", "no replica"],
+    ids=[
+        "far replicas",
+        "near replicas",
+        "single far shard",
+        "no peer there",
+        "shard without replica",
+    ],
 )
 def test_plan(names, batches):
     async def main():
@@ -41,18 +47,20 @@
         async with handing.peer(handing.silent) as towards:
             now_s = asyncio.get_running_loop().time()
             call = handing.query_call()
-            found = towards.peers.plan(sender, call, answering.first_choices(sender, call), now_s)
-            assert [handed.shards for handed in found] == batches
+            assignments = towards.peers.plan(
+                sender, call, answering.first_choices(sender, call), now_s
+            )
+            assert [assignment.shards for assignment in assignments] == batches
 
     asyncio.run(main())
 
 
-def test_connections_are_opened_ahead():
+def test_connections_to_preferred_peers_are_prewarmed():
     async def main():
         async with handing.peer(handing.silent) as towards:
             await towards.peers.warm(shared=False)
-            (usual,) = towards.peers.preferred_peers(shared=False)
-            assert usual.pool.open_count == 1
+            (preferred,) = towards.peers.preferred_peers(shared=False)
+            assert preferred.pool.open_count == 1
 
     asyncio.run(main())
 
@@ -61,18 +69,19 @@
     ("instances", "shared", "least", "most"),
     [(4, False, 4, 4), (30, False, 4, 4), (24, True, 8, 8), (3, True, 3, 3)],
 )
-def test_the_usual_peers_are_few(instances, shared, least, most):
+def test_number_of_preferred_peers(instances, shared, least, most):
     peers = replicas_module.Replicas(lambda entry: None, handing.PLACE, budget.Allowance())
     for number in range(instances):
         peers.put(routes.ReplicaEntry(f"e{number}", "far", "h", 1, "far", 1, False, 0))
-    usual = peers_module.Peers(peers, handing.PLACE).preferred_peers(shared)
-    assert least <= len(usual) <= most
+    preferred = peers_module.Peers(peers, handing.PLACE).preferred_peers(shared)
+    assert least <= len(preferred) <= most
 
 
-def test_where_instances_are_many_a_shard_is_sent_to_by_its_owners():
+def test_with_many_instances_parts_are_handed_to_the_owners():
     """
-    Seventy-four instances ask 135 shards. If each sends to each replica, replicas run out of
-    connections and each send opens a new one; so all of them hand a shard's part to the same two.
+    Guards against replicas that run out of connections. If each of 74 instances sends to the
+    replicas of 135 shards, each attempt opens a new connection. Instead all instances hand a
+    shard's part to the same two owners.
     """
     shards = [f"s{number}" for number in range(40)]
 
@@ -86,11 +95,11 @@
         towards = handover.Handover(peers_module.Peers(peers, handing.PLACE))
         call = handing.query_call(shards=tuple(shards))
         now_s = asyncio.get_running_loop().time()
-        batches = towards.peers.plan(sender, call, answering.first_choices(sender, call), now_s)
-        assert sorted(shard for each in batches for shard in each.shards) == sorted(shards)
-        for each in batches:
+        assignments = towards.peers.plan(sender, call, answering.first_choices(sender, call), now_s)
+        assert sorted(shard for each in assignments for shard in each.shards) == sorted(shards)
+        for each in assignments:
             for shard in each.shards:
                 assert each.peer.entry.instance in towards.peers.owners("far", shard)
-        assert 2 <= len(batches) <= 4
+        assert 2 <= len(assignments) <= 4
 
     asyncio.run(main())
--- a/tests/direct/test_placement.py
+++ b/tests/direct/test_placement.py
@@ -1,4 +1,4 @@
-"""Who sends to a replica."""
+"""Tests of the choice of the instances that send to a replica."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
 @hypothesis.given(NAMES)
-def test_work_is_spread(names):
-    """No instance owns more than its part: the slowest machine would decide every answer."""
+def test_groups_are_spread_evenly(names):
+    """Guards against overloaded owners: a query is as slow as the slowest of its owners."""
     groups = placement.owners_by_group(names)
     counts = collections.Counter(name for owners in groups for name in owners)
     assert all(len(set(owners)) == min(placement.OWNERS_PER_GROUP, len(names)) for owners in groups)
@@ -35,7 +35,7 @@
 
 @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
 @hypothesis.given(NAMES, strategies.randoms(use_true_random=False))
-def test_every_instance_finds_the_same_owners(names, rng):
+def test_owners_do_not_depend_on_the_order_of_instances(names, rng):
     shuffled = list(names)
     rng.shuffle(shuffled)
     assert placement.owners_by_group(shuffled) == placement.owners_by_group(names)
@@ -50,16 +50,16 @@
         assert sum(not set(a) & set(b) for a, b in zip(before, after, strict=True)) <= 1
 
 
-def test_the_replica_that_every_instance_may_send_a_part_to():
+def test_common_replica():
     """
-    One of the data centre that it is handed to comes first, whichever instance works it out; which
-    of several it is changes from request to request, so that all get their share.
+    Replicas in the data centre that the part is handed to come first, and all instances compute the
+    same result. Among several replicas the choice varies by request, so that they get equal shares.
     """
-    places = {"a": "here", "b": "there", "c": "elsewhere"}
+    data_centres = {"a": "here", "b": "there", "c": "elsewhere"}
     ids = [b"q%d" % each for each in range(60)]
-    assert {placement.common_replica(each, places, "here") for each in ids} == {"a"}
-    del places["a"]
-    found = [placement.common_replica(each, places, "here") for each in ids]
-    assert 20 < found.count("b") < 40
-    turned = dict(reversed(places.items()))
-    assert [placement.common_replica(each, turned, "here") for each in ids] == found
+    assert {placement.common_replica(each, data_centres, "here") for each in ids} == {"a"}
+    del data_centres["a"]
+    chosen = [placement.common_replica(each, data_centres, "here") for each in ids]
+    assert 20 < chosen.count("b") < 40
+    reordered = dict(reversed(data_centres.items()))
+    assert [placement.common_replica(each, reordered, "here") for each in ids] == chosen
--- a/tests/direct/test_pool.py
+++ b/tests/direct/test_pool.py
@@ -1,4 +1,4 @@
-"""The connections of one instance to one replica."""
+"""Tests of the connection pool."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.define(eq=False)
 class Connection:
-    """As much of a connection as a pool looks at."""
+    """Stand-in with the members of a connection that a pool uses."""
 
     keep_idle_s: float | None = None
     idle_since_s: float = 0.0
@@ -32,61 +32,62 @@
         return self.now_s
 
 
-def make(clock, stated_idle):
+def make_pool(clock, keep_alive):
     async def connect():
         return Connection()
 
-    return pool_module.Pool(connect, lambda: 2, clock, keep_alive=stated_idle)
+    return pool_module.Pool(connect, lambda: 2, clock, keep_alive=keep_alive)
 
 
-async def use(pool, stated_s):
+async def exchange(pool, keep_alive_s):
     async with pool.connection(0) as connection:
         connection.exchanges += 1
-        connection.keep_idle_s = stated_s
+        connection.keep_idle_s = keep_alive_s
 
 
 @pytest.mark.parametrize(
-    ("stated_s", "rested_s", "opened"),
+    ("keep_alive_s", "idle_s", "opened"),
     [
-        pytest.param([], 3.9, 1, id="nothing stated, rested shortly"),
-        pytest.param([], 4.1, 2, id="nothing stated, rested for long"),
-        pytest.param([10.0], 7.9, 1, id="stated by another replica"),
-        pytest.param([10.0], 8.1, 2, id="rested for most of what was stated"),
-        pytest.param([10.0, 2.0], 1.7, 2, id="one replica keeps them shorter"),
-        pytest.param([None], 4.1, 2, id="a response that states nothing"),
-        pytest.param([0.0], 0.1, 2, id="none is kept"),
+        pytest.param([], 3.9, 1, id="nothing advertised, idle for less than the default"),
+        pytest.param([], 4.1, 2, id="nothing advertised, idle for more than the default"),
+        pytest.param([10.0], 7.9, 1, id="advertised by another replica"),
+        pytest.param([10.0], 8.1, 2, id="idle for most of the advertised time"),
+        pytest.param([10.0, 2.0], 1.7, 2, id="another replica advertises a shorter time"),
+        pytest.param([None], 4.1, 2, id="response without a timeout"),
+        pytest.param([0.0], 0.1, 2, id="connections are not kept"),
     ],
 )
-def test_how_long_a_connection_opened_ahead_is_trusted(stated_s, rested_s, opened):
+def test_idle_timeout_of_a_prewarmed_connection(keep_alive_s, idle_s, opened):
     """
-    An instance opens connections ahead of need and drops them unused after four seconds, again and
-    again, although the replicas keep them for ten: most of all new connections are of that kind.
+    Guards against closing unused prewarmed connections after four seconds and reopening them again
+    and again, although the replicas keep them for ten seconds. Most new connections were of this
+    kind.
     """
 
     async def main():
-        clock, shared = Clock(), pool_module.KeepAliveTimeout()
-        for each in stated_s:
-            await use(make(clock, shared), each)
-        pool = make(clock, shared)
+        clock, keep_alive = Clock(), pool_module.KeepAliveTimeout()
+        for each in keep_alive_s:
+            await exchange(make_pool(clock, keep_alive), each)
+        pool = make_pool(clock, keep_alive)
         await pool.warm()
-        clock.now_s += rested_s
-        await use(pool, None)
+        clock.now_s += idle_s
+        await exchange(pool, None)
         return pool.opened
 
     assert asyncio.run(main()) == opened
 
 
-def test_a_pool_of_a_replica_that_is_gone_lends_nothing():
+def test_a_closed_pool_provides_no_connections():
     """
-    A replica is gone while a send waits for one of its connections. Left waiting, the send is late
-    although another replica could take it; and the connection that comes back later stays open for
-    good, as nobody looks after the pool any more.
+    A replica is removed while an attempt waits for one of its connections. If the attempt keeps
+    waiting, it is late although another replica could run it. A connection that is released later
+    would stay open forever, as the pool is no longer maintained.
     """
 
     async def main():
-        pool = make(Clock(), pool_module.KeepAliveTimeout())
+        pool = make_pool(Clock(), pool_module.KeepAliveTimeout())
         async with pool.connection(0) as first, pool.connection(0):
-            waiting = asyncio.create_task(use(pool, 10.0))
+            waiting = asyncio.create_task(exchange(pool, 10.0))
             await asyncio.sleep(0)
             assert pool.waiting == 1
             pool.close()
@@ -95,7 +96,7 @@
         assert first.closed
         assert pool.open_count == 0
         with pytest.raises(client.ConnectError):
-            await use(pool, 10.0)
+            await exchange(pool, 10.0)
         await pool.warm()
         assert pool.open_count == 0
 
--- a/tests/direct/test_regions.py
+++ b/tests/direct/test_regions.py
@@ -1,4 +1,4 @@
-"""Where a request may go: bound regions, evacuated data centres, cold replicas."""
+"""Tests of region restrictions, evacuated data centres and the limits of cold replicas."""
 
 from __future__ import annotations
 
@@ -21,30 +21,30 @@
 from turmericlug.policy import warm_up
 
 GOOD = scripted.response(body=bytes(16))
-FAILS = scripted.response(500)
+FAILURE = scripted.response(500)
 HERE, THERE = frozenset({"here"}), frozenset({"there"})
 FAR_AND_NEAR = ("near-1", "far-1", "further-1")
 
 
-def play(scripts, scenario, **changes):
-    """Run a scenario with a sender in data centre ``near`` and a call."""
+def run_scenario(scripts, scenario, **changes):
+    """Run a scenario with a call and a sender in data centre ``near``."""
 
     async def main():
         sender = handing.make_sender(scripts)
         call = scripted.make_call(**changes)
         async with asyncio.timeout(10):
-            found = await scenario(sender, call)
+            result = await scenario(sender, call)
         await sender.tasks.close()
-        return found
+        return result
 
     return asyncio.run(main())
 
 
-def service(*steps, names=FAR_AND_NEAR):
+def scripted_replicas(*steps, names=FAR_AND_NEAR):
     return {name: scripted.Scripted(*steps) for name in names}
 
 
-def reached(replicas):
+def names_reached(replicas):
     return {name for name, replica in replicas.items() if replica.requests}
 
 
@@ -52,24 +52,24 @@
     ("steps", "changes"),
     [
         ([GOOD], {}),
-        ([FAILS], {"max_attempts": 3}),
+        ([FAILURE], {"max_attempts": 3}),
         ([scripted.SHED], {"max_attempts": 3}),
         ([0.3, GOOD], {"max_attempts": 3, "goal_ms": 50.0}),
-        ([FAILS], {"max_attempts": 3, "idempotent": False}),
+        ([FAILURE], {"max_attempts": 3, "idempotent": False}),
     ],
-    ids=["first send", "repeat", "shed", "hedge", "not idempotent"],
+    ids=["first attempt", "retry", "shed", "hedge", "not idempotent"],
 )
 @pytest.mark.parametrize("regions", [THERE, HERE, frozenset()], ids=["far", "near", "nowhere"])
-def test_a_bound_request_reaches_only_replicas_of_its_regions(steps, changes, regions):
-    """Requests bound to regions were sent to the replica that was nearest or answered first."""
-    replicas = service(*steps)
+def test_a_restricted_request_reaches_only_replicas_in_its_regions(steps, changes, regions):
+    """Guards against sending a restricted request to the nearest replica or the fastest to answer."""
+    replicas = scripted_replicas(*steps)
 
     async def scenario(sender, call):
         return await answering.single(sender, call, "s")
 
-    ending = play({"s": replicas}, scenario, regions=regions, deadline_ms=800.0, **changes)
+    ending = run_scenario({"s": replicas}, scenario, regions=regions, deadline_ms=800.0, **changes)
     allowed = {name for name in FAR_AND_NEAR if handing.REGIONS[name.partition("-")[0]] in regions}
-    assert reached(replicas) <= allowed
+    assert names_reached(replicas) <= allowed
     if not allowed:
         assert (ending.outcome, ending.reason) == ("refused", replicas_module.OUT_OF_REGION)
         assert ending.answer.status == 503
@@ -77,7 +77,7 @@
 
 
 def test_a_suspected_request_is_tried_only_in_its_regions():
-    shards = {shard: service(GOOD) for shard in ("x", "y")}
+    shards = {shard: scripted_replicas(GOOD) for shard in ("x", "y")}
 
     async def scenario(sender, call):
         call.fingerprint = b"q"
@@ -86,59 +86,59 @@
         assert sender.quarantine.verdict(b"q") is poison.Verdict.SUSPECTED
         return await trial.before(sender, call)
 
-    play(shards, scenario, regions=THERE, shards=("x", "y"), services=(), min_coverage=0.5)
-    assert {name for each in shards.values() for name in reached(each)} == {"far-1"}
+    run_scenario(shards, scenario, regions=THERE, shards=("x", "y"), services=(), min_coverage=0.5)
+    assert {name for each in shards.values() for name in names_reached(each)} == {"far-1"}
 
 
-def test_a_bound_query_is_refused_at_once_where_too_few_shards_are_in_its_regions():
-    scripts = {"x": service(GOOD), "y": service(GOOD, names=("near-1",))}
+def test_a_restricted_query_is_refused_if_too_few_shards_are_in_its_regions():
+    scripts = {"x": scripted_replicas(GOOD), "y": scripted_replicas(GOOD, names=("near-1",))}
 
     async def scenario(sender, call):
         return await answering.all_shards(sender, call)
 
-    ending = play(
+    ending = run_scenario(
         scripts, scenario, regions=THERE, shards=("x", "y"), services=(), min_coverage=0.9
     )
     assert (ending.outcome, ending.reason) == ("refused", replicas_module.OUT_OF_REGION)
-    assert not any(reached(each) for each in scripts.values())
+    assert not any(names_reached(each) for each in scripts.values())
 
 
-def test_a_bound_query_is_handed_only_to_instances_of_its_regions():
-    """The body of a bound request was handed to the instance nearest to any replica."""
+def test_a_restricted_query_is_handed_only_to_peers_in_its_regions():
+    """Guards against handing the body of a restricted request to a peer in another region."""
 
     async def main():
         scripts = handing.scripts()
         sender = handing.make_sender(scripts)
-        taken = []
+        received = []
 
         async def handle(request):
-            taken.append(handover_codec.decode_batch(request.body))
+            received.append(handover_codec.decode_batch(request.body))
             return messages.Answer(503)
 
         async with handing.peer(handle) as towards:
             sender.handover = towards
             call = handing.query_call(regions=frozenset({"here"}), min_coverage=0.3)
             ending = await answering.all_shards(sender, call)
-            assert not taken
+            assert not received
             assert ending.outcome == "partial"
-            assert {name for each in scripts.values() for name in reached(each)} == {"near-3"}
+            assert {name for each in scripts.values() for name in names_reached(each)} == {"near-3"}
             call = handing.query_call(regions=THERE)
             await answering.all_shards(sender, call)
-            assert [each.regions for each in taken] == [THERE]
+            assert [each.regions for each in received] == [THERE]
         await sender.tasks.close()
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("regions", [None, THERE, frozenset()], ids=["any", "one", "none"])
-def test_the_regions_of_a_batch_come_through(regions):
+def test_the_regions_of_a_batch_survive_encoding(regions):
     batch = attrs.evolve(handing.BATCH, regions=regions)
     assert handover_codec.decode_batch(handover_codec.encode_batch(batch)) == batch
 
 
-def test_an_instance_that_takes_a_batch_keeps_to_its_regions():
-    """Parts that were late at the helping instance were hedged in another region."""
-    scripts = {"x": service(0.3, GOOD), "y": service(0.3, GOOD)}
+def test_a_peer_respects_the_regions_of_a_batch():
+    """Guards against a peer that hedges late parts of a batch in another region."""
+    scripts = {"x": scripted_replicas(0.3, GOOD), "y": scripted_replicas(0.3, GOOD)}
 
     async def main():
         sender = handing.make_sender(scripts)
@@ -152,7 +152,7 @@
         await sender.tasks.close()
 
     asyncio.run(main())
-    assert {name for each in scripts.values() for name in reached(each)} == {"far-1"}
+    assert {name for each in scripts.values() for name in names_reached(each)} == {"far-1"}
 
 
 def evacuate(sender, *data_centres):
@@ -169,56 +169,56 @@
         (["unknown"], set(FAR_AND_NEAR), ""),
     ],
 )
-def test_replicas_of_an_evacuated_data_centre_get_nothing(data_centres, allowed, reason):
-    """Replicas of a data centre that was evacuated got requests until the data centre was off."""
-    replicas = service(FAILS)
+def test_replicas_of_an_evacuated_data_centre_get_no_requests(data_centres, allowed, reason):
+    """Guards against sending to replicas of an evacuated data centre until it is switched off."""
+    replicas = scripted_replicas(FAILURE)
 
     async def scenario(sender, call):
         evacuate(sender, *data_centres)
         return await obtaining.obtain(sender, call, "s")
 
-    outcome = play({"s": replicas}, scenario, max_attempts=3)
-    assert reached(replicas) <= allowed
+    outcome = run_scenario({"s": replicas}, scenario, max_attempts=3)
+    assert names_reached(replicas) <= allowed
     if reason:
         assert outcome == sending.NotRun(reason, sent=False)
 
 
-class OpensLate(scripted.Scripted):
-    """A replica whose connection opens only when it is let."""
+class DelayedConnect(scripted.Scripted):
+    """A replica whose connections open only after ``may_connect`` is set."""
 
     def __init__(self, *script):
         super().__init__(*script)
-        self.let = asyncio.Event()
+        self.may_connect = asyncio.Event()
 
     async def connect(self):
-        await self.let.wait()
+        await self.may_connect.wait()
         return await super().connect()
 
 
-def test_what_waits_for_a_connection_when_a_data_centre_is_evacuated_is_not_written():
-    """A request that waited for a connection was written after the evacuation."""
+def test_an_evacuation_cancels_requests_that_wait_for_a_connection():
+    """Guards against writing a request that waited for a connection after the evacuation began."""
 
     async def main():
-        replicas = {"near-1": OpensLate(GOOD), "far-1": scripted.Scripted(GOOD)}
+        replicas = {"near-1": DelayedConnect(GOOD), "far-1": scripted.Scripted(GOOD)}
         sender = handing.make_sender({"s": replicas})
         call = scripted.make_call(idempotent=False)
-        sent = asyncio.create_task(obtaining.obtain(sender, call, "s"))
+        task = asyncio.create_task(obtaining.obtain(sender, call, "s"))
         await asyncio.sleep(0.01)
         evacuate(sender, "near")
-        replicas["near-1"].let.set()
-        outcome = await sent
+        replicas["near-1"].may_connect.set()
+        outcome = await task
         assert isinstance(outcome, sending.Answered)
-        assert reached(replicas) == {"far-1"}
-        (standing,) = (each for each in sender.replicas.of("s") if each.entry.data_centre == "near")
-        assert standing.failures == 0
+        assert names_reached(replicas) == {"far-1"}
+        (near,) = (each for each in sender.replicas.of("s") if each.entry.data_centre == "near")
+        assert near.failures == 0
         assert sender.counters.totals["direct.withheld.evacuated"] == 1
         await sender.tasks.close()
 
     asyncio.run(main())
 
 
-def test_what_is_taken_back_is_used_again():
-    replicas = service(GOOD, names=("near-1",))
+def test_a_data_centre_is_used_again_after_its_evacuation():
+    replicas = scripted_replicas(GOOD, names=("near-1",))
 
     async def scenario(sender, call):
         evacuate(sender, "near")
@@ -227,18 +227,18 @@
         assert sender.replicas.end_evacuation("near", 3.0) == 0.0
         return await obtaining.obtain(sender, call, "s")
 
-    assert isinstance(play({"s": replicas}, scenario), sending.Answered)
+    assert isinstance(run_scenario({"s": replicas}, scenario), sending.Answered)
 
 
-def test_no_connection_is_opened_ahead_to_an_evacuated_data_centre():
-    replicas = service(GOOD, names=("near-1", "near-2"))
+def test_no_connection_is_prewarmed_to_an_evacuated_data_centre():
+    replicas = scripted_replicas(GOOD, names=("near-1", "near-2"))
 
     async def scenario(sender, call):
         evacuate(sender, "near")
         await sender.replicas.warm(0.0, lambda service: True, far=True)
         return sender.replicas.connections()["opened_ahead"]
 
-    assert play({"s": replicas}, scenario) == 0
+    assert run_scenario({"s": replicas}, scenario) == 0
 
 
 @pytest.mark.parametrize(
@@ -249,11 +249,11 @@
         (warm_up.Share(2.0, senders=1000, phase=0.9), 0),
         (warm_up.UNLIMITED, 4),
     ],
-    ids=["no sender", "the only one", "its turn is later", "not limited"],
+    ids=["not a sender", "only sender", "later phase", "not limited"],
 )
-def test_a_cold_replica_gets_no_more_than_this_instance_may_send(share, most):
-    """A replica that had just started got the requests of all instances and ended again."""
-    replicas = service(GOOD, names=("near-1",))
+def test_a_cold_replica_gets_no_more_than_the_share_of_this_instance(share, most):
+    """Guards against a crash of a replica that gets all instances' requests just after its start."""
+    replicas = scripted_replicas(GOOD, names=("near-1",))
 
     async def scenario(sender, call):
         loop = asyncio.get_running_loop()
@@ -264,7 +264,7 @@
         sender.replicas.cold_limit = lambda entry: share
         return [await obtaining.obtain(sender, call, "s") for _ in range(4)]
 
-    outcomes = play({"s": replicas}, scenario)
+    outcomes = run_scenario({"s": replicas}, scenario)
     assert len(replicas["near-1"].requests) == most
     refused = sending.NotRun(replicas_module.COLD, sent=False)
     assert outcomes.count(refused) == 4 - most
--- a/tests/direct/test_routes.py
+++ b/tests/direct/test_routes.py
@@ -1,4 +1,4 @@
-"""Which route a request takes."""
+"""Tests of the choice of a route and of a service."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from turmericlug.http1 import messages
 
 
-def route(name, host, prefix, **changes):
+def make_route(name, host, prefix, **changes):
     values = {
         "idempotent": True,
         "timeout_ms": 1000.0,
@@ -24,12 +24,12 @@
     return routes.Route(name, host, prefix, **values)
 
 
-TABLE = routes.Configuration(
+CONFIGURATION = routes.Configuration(
     7,
     (
-        route("short", "a.example", "/x/"),
-        route("long", "A.example", "/x/y/"),
-        route("other", "b.example", "/"),
+        make_route("short", "a.example", "/x/"),
+        make_route("long", "A.example", "/x/y/"),
+        make_route("other", "b.example", "/"),
     ),
     {},
     messages.Limits(),
@@ -49,15 +49,15 @@
         ("c.example", "/x/", None),
     ],
 )
-def test_the_longest_prefix_of_the_host_decides(host, path, expected):
-    found = TABLE.match(host, path)
-    assert (found.name if found else None) == expected
+def test_the_longest_matching_prefix_of_the_host_wins(host, path, expected):
+    matched = CONFIGURATION.match(host, path)
+    assert (matched.name if matched else None) == expected
 
 
-def test_services_are_drawn_by_weight():
-    split = route(
+def test_services_are_picked_by_weight():
+    route = make_route(
         "r", "h", "/", services=(routes.WeightedService("a", 3), routes.WeightedService("b", 1))
     )
     spread, rng = callers.Spread(), random.Random(1)
-    counts = collections.Counter(spread.pick(split, rng) for _ in range(4000))
+    counts = collections.Counter(spread.pick(route, rng) for _ in range(4000))
     assert 0.72 < counts["a"] / 4000 < 0.78
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -71,7 +71,7 @@
         "direct/budget.py",
         "        return OWNERS_SLACK_SHARE / owners",
         "        return 1 / instances",
-        "direct/test_budget.py::test_an_owner_among_many_has_extra_sends_to_make",
+        "direct/test_budget.py::test_an_owner_among_many_instances_may_retry_all_failed_parts",
     ),
     mutant.one(
         "hedge-without-limit",
@@ -374,7 +374,7 @@
         "direct/replicas.py",
         "        if not (near and far):",
         "        if not near:",
-        "direct/test_replicas.py::test_connections_ahead_of_need",
+        "direct/test_replicas.py::test_prewarmed_connections",
     ),
     mutant.one(
         "every-count-kept",
@@ -438,7 +438,7 @@
         "direct/pool.py",
         "            if self.closed:\n                raise",
         "            if self.closed is None:\n                raise",
-        "direct/test_pool.py::test_a_pool_of_a_replica_that_is_gone_lends_nothing",
+        "direct/test_pool.py::test_a_closed_pool_provides_no_connections",
     ),
     mutant.one(
         "listen-when-loaded",
@@ -459,7 +459,7 @@
         "direct/replicas.py",
         "        expected_ms *= 1 + SHED_FACTOR * replica.current_shed_share(now_s)\n",
         "",
-        "direct/test_replicas.py::test_a_replica_that_sheds_does_not_use_up_the_extra_sends",
+        "direct/test_replicas.py::test_a_shedding_replica_does_not_exhaust_the_retry_budget",
     ),
     mutant.one(
         "no-try-after-a-pause",
@@ -600,14 +600,14 @@
         "direct/placement.py",
         "        return regions is None or self.regions.get(data_centre) in regions",
         "        return True",
-        "direct/test_regions.py::test_a_bound_request_reaches_only_replicas_of_its_regions",
+        "direct/test_regions.py::test_a_restricted_request_reaches_only_replicas_in_its_regions",
     ),
     mutant.one(
         "hand-over-without-regions",
         "entry/helping.py",
         "        regions=batch.regions,\n",
         "",
-        "direct/test_regions.py::test_an_instance_that_takes_a_batch_keeps_to_its_regions",
+        "direct/test_regions.py::test_a_peer_respects_the_regions_of_a_batch",
     ),
     mutant.one(
         "unreadable-regions-allow-all",
@@ -630,8 +630,8 @@
         "        if replica.entry.data_centre in self.replicas.evacuated:\n"
         "            return replicas_module.EVACUATED\n",
         "",
-        "direct/test_regions.py::"
-        "test_what_waits_for_a_connection_when_a_data_centre_is_evacuated_is_not_written",
+        "direct/test_regions.py"
+        "::test_an_evacuation_cancels_requests_that_wait_for_a_connection",
     ),
     mutant.one(
         "hold-an-evacuation-taken-back",
@@ -652,7 +652,7 @@
         "direct/replicas.py",
         "        if not replica.pool.has_idle:\n",
         "        if not now_s + 1:\n",
-        "direct/test_replicas.py" "::test_of_equal_replicas_one_with_an_idle_connection_goes_first",
+        "direct/test_replicas.py" "::test_a_replica_with_an_idle_connection_is_preferred",
     ),
     mutant.one(
         "fixed-pair-for-a-handed-part",
