--- a/src/turmericlug/direct/peers.py
+++ b/src/turmericlug/direct/peers.py
@@ -101,7 +101,7 @@
         return warm_up.Share(rate_per_s, len(owners) if own in owners else 0, phase)
 
     def sends_directly(self, sender: sender_module.Sender, shard: str) -> bool:
-        """Whether this instance sends to a shard's replicas in its own data centre itself."""
+        """Whether this instance itself sends to a shard's replicas in its own data centre."""
         if placement.all_send_directly(sender.instances()):
             return True
         return self._place.name in self.owners(self._place.data_centre, shard)
--- a/src/turmericlug/direct/placement.py
+++ b/src/turmericlug/direct/placement.py
@@ -28,13 +28,12 @@
 """Divides a query over 135 shards into batches of about 30 parts."""
 GROUP_GROWTH_FACTOR = 4
 MAX_INSTANCES_PER_GROUP = 6
-"""The number of groups grows in steps. If it followed the number of instances, each instance added
-or removed would move every shard to other owners, which have no connections open yet."""
+"""The number of groups grows in steps. If it followed the number of instances, each one added or
+removed would move every shard to other owners, which have no connections open yet."""
 
 _HASH_MULTIPLIER = 2654435761
-"""Knuth's factor for multiplicative hashing. Without it two names keep their relative order for
-nearly all salts, as the CRCs of strings that differ in the same position differ in the same bits.
-"""
+"""Knuth's factor for multiplicative hashing. Without it two names keep their order for nearly all
+salts, as the CRCs of strings that differ in the same position differ in the same bits."""
 
 
 @attrs.frozen
--- a/src/turmericlug/direct/replica.py
+++ b/src/turmericlug/direct/replica.py
@@ -18,7 +18,7 @@
 """A replica that shed a request is skipped for a few service times, so that its queue can drain."""
 MISDIRECTED_PAUSE_S = 10.0
 """Time for which nothing is sent to an address at which another replica answers. By then the store
-has reported that the replica is gone, unless it is unreachable for longer; then one more request is
+has reported that the replica is gone. If the store is unreachable for longer, one more request is
 sent."""
 FAILURES_TO_EJECT = 2
 """Consecutive failures after which a replica is ejected for a time."""
@@ -78,6 +78,7 @@
     """Ejections since the last success."""
     ejected_until_s: float = 0.0
     shed_until_s: float = 0.0
+    """End of the backoff after it has shed a request."""
     shed_share: float = 0.0
     """Moving average of the fraction of attempts that it sheds."""
     shed_at_s: float = 0.0
@@ -120,7 +121,7 @@
 
     def overdue(self, now_s: float) -> bool:
         """Whether an attempt has been in flight for longer than a slow one takes."""
-        return any(now_s - send.began_s > send.overdue_after_s for send in self.sends)
+        return any(now_s - attempt.began_s > attempt.overdue_after_s for attempt in self.sends)
 
     def set_aside(self, now_s: float) -> bool:
         """Whether it recently failed, shed or was misdirected, and is not due for another try."""
@@ -134,7 +135,7 @@
 
     def record_misdirected(self, now_s: float) -> None:
         """
-        Record that another replica answers at its address, so that this one is gone.
+        Record that another replica answers at its address, which means that this one is gone.
 
         While the store is unreachable there is no other sign of this. With the short backoff of a
         replica that sheds, each instance would send a request to the address every 0.15 s. Each
--- a/src/turmericlug/direct/replicas.py
+++ b/src/turmericlug/direct/replicas.py
@@ -226,7 +226,7 @@
         return not replica.leaving and replica.entry.data_centre not in self.evacuated
 
     def eligible(self, service: str, route: routes.Route) -> list[replica_module.Replica]:
-        """Return the replicas of a service that may get a request of a route, available or not."""
+        """Return the replicas of a service that may get a request of a route, even if set aside."""
         return [
             each
             for each in self._by_service.get(service, {}).values()
--- a/src/turmericlug/direct/routes.py
+++ b/src/turmericlug/direct/routes.py
@@ -41,7 +41,7 @@
     shards: tuple[str, ...] = ()
     """The services that each hold a part of the answer; empty for other routes."""
     top_records: int = 0
-    """Number of records in the answer of a query over shards."""
+    """Maximum number of records in the answer of a query over shards."""
     min_coverage: float = 0.0
     """Fraction of the shards that an answer has to cover."""
     regions: frozenset[str] | None = None
--- a/tests/direct/test_regions.py
+++ b/tests/direct/test_regions.py
@@ -61,7 +61,7 @@
 )
 @pytest.mark.parametrize("regions", [THERE, HERE, frozenset()], ids=["far", "near", "nowhere"])
 def test_a_restricted_request_reaches_only_replicas_in_its_regions(steps, changes, regions):
-    """Guards against sending a restricted request to the nearest replica or the fastest to answer."""
+    """Guards against sending a restricted request to a nearer or faster replica elsewhere."""
     replicas = scripted_replicas(*steps)
 
     async def scenario(sender, call):
@@ -195,7 +195,7 @@
         return await super().connect()
 
 
-def test_an_evacuation_cancels_requests_that_wait_for_a_connection():
+def test_an_evacuation_redirects_requests_that_wait_for_a_connection():
     """Guards against writing a request that waited for a connection after the evacuation began."""
 
     async def main():
@@ -252,7 +252,7 @@
     ids=["not a sender", "only sender", "later phase", "not limited"],
 )
 def test_a_cold_replica_gets_no_more_than_the_share_of_this_instance(share, most):
-    """Guards against a crash of a replica that gets all instances' requests just after its start."""
+    """Guards against crashes of replicas that get the requests of all instances at their start."""
     replicas = scripted_replicas(GOOD, names=("near-1",))
 
     async def scenario(sender, call):
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -631,7 +631,7 @@
         "            return replicas_module.EVACUATED\n",
         "",
         "direct/test_regions.py"
-        "::test_an_evacuation_cancels_requests_that_wait_for_a_connection",
+        "::test_an_evacuation_redirects_requests_that_wait_for_a_connection",
     ),
     mutant.one(
         "hold-an-evacuation-taken-back",
