--- a/src/turmericlug/direct/answering.py
+++ b/src/turmericlug/direct/answering.py
@@ -135,7 +135,7 @@
 
 
 def _why_too_few_replicas(
-    sender: sender_module.Sender, call: sending.Call, first: peers_module.FirstChoices
+    sender: sender_module.Sender, call: sending.Call, first: peers_module.FirstReplicas
 ) -> str:
     """Return the reason why most shards without a replica to take a part have none."""
     now_s = asyncio.get_running_loop().time()
@@ -153,7 +153,7 @@
 def _started(
     sender: sender_module.Sender,
     call: sending.Call,
-    first: peers_module.FirstChoices,
+    first: peers_module.FirstReplicas,
     answer_at_s: float,
 ) -> Parts:
     """Start every part: in a batch with others where its replicas are far, else from here."""
@@ -171,7 +171,7 @@
     }
 
 
-def first_choices(sender: sender_module.Sender, call: sending.Call) -> peers_module.FirstChoices:
+def first_choices(sender: sender_module.Sender, call: sending.Call) -> peers_module.FirstReplicas:
     """Choose the best replica of each shard that has one."""
     now_s = asyncio.get_running_loop().time()
     chosen = {
--- a/src/turmericlug/direct/handover.py
+++ b/src/turmericlug/direct/handover.py
@@ -97,7 +97,7 @@
         self,
         sender: sender_module.Sender,
         call: sending.Call,
-        first: peers_module.FirstChoices,
+        first: peers_module.FirstReplicas,
         answer_at_s: float,
     ) -> dict[str, Handed]:
         """
--- a/src/turmericlug/direct/peers.py
+++ b/src/turmericlug/direct/peers.py
@@ -34,7 +34,7 @@
 """Weight of a new measurement in the moving average."""
 
 
-FirstChoices = dict[str, replica_module.Replica]
+FirstReplicas = dict[str, replica_module.Replica]
 """The best replica of each shard that has one."""
 
 
@@ -123,7 +123,7 @@
         )
 
     def plan(
-        self, sender: sender_module.Sender, call: sending.Call, first: FirstChoices, now_s: float
+        self, sender: sender_module.Sender, call: sending.Call, first: FirstReplicas, now_s: float
     ) -> list[Assignment]:
         """Assign to peers the shards that they should send to instead of this instance."""
         by_data_centre = self._choose_data_centres(sender, call.route, first, now_s)
@@ -145,7 +145,7 @@
         self,
         sender: sender_module.Sender,
         route: routes.Route,
-        first: FirstChoices,
+        first: FirstReplicas,
         now_s: float,
     ) -> dict[str, list[str]]:
         """
