--- a/src/turmericlug/direct/answering.py
+++ b/src/turmericlug/direct/answering.py
@@ -136,12 +136,12 @@
 
 
 def _no_replica_reason(
-    sender: sender_module.Sender, call: sending.Call, first_replicas: peers_module.FirstChoices
+    sender: sender_module.Sender, call: sending.Call, first_replicas: peers_module.FirstReplicas
 ) -> str:
     """Return the most common reason why shards have no replica to send to."""
     now_s = asyncio.get_running_loop().time()
     reasons = collections.Counter(
-        sender.replicas.why_none(shard, call.route, now_s)
+        sender.replicas.no_replica_reason(shard, call.route, now_s)
         for shard in call.route.shards
         if shard not in first_replicas
     )
@@ -154,7 +154,7 @@
 def _start_parts(
     sender: sender_module.Sender,
     call: sending.Call,
-    first_replicas: peers_module.FirstChoices,
+    first_replicas: peers_module.FirstReplicas,
     answer_at_s: float,
 ) -> Parts:
     """Start every part: in a batch through a peer if its replicas are remote, else directly."""
@@ -174,7 +174,7 @@
 
 def choose_first_replicas(
     sender: sender_module.Sender, call: sending.Call
-) -> peers_module.FirstChoices:
+) -> peers_module.FirstReplicas:
     """Choose the best replica of each shard that has an available one."""
     now_s = asyncio.get_running_loop().time()
     first_replicas = {
--- a/src/turmericlug/direct/attempts.py
+++ b/src/turmericlug/direct/attempts.py
@@ -38,7 +38,7 @@
     """An attempt in flight."""
 
     replica: replica_module.Replica
-    send: replica_module.Send
+    send: replica_module.Attempt
 
     @property
     def began_s(self) -> float:
@@ -115,7 +115,7 @@
             service, call.route, call.request_id, handover_data_centre
         )
     if not is_retry:
-        sender.replicas.extra_sends(service).count_request(loop.time())
+        sender.replicas.retry_budget(service).count_request(loop.time())
     elif call.route.max_attempts < 2 or not sender.spend_retry_budget(service, loop.time()):
         sender.counters.add("direct.repeat_denied.budget")
         return sending.Unknown("budget")
@@ -135,7 +135,7 @@
 async def _first_answer(
     state: _AttemptState, first: replica_module.Replica | None
 ) -> sending.Outcome:
-    """Send, hedge and retry until there is an answer or no further attempt is allowed."""
+    """Attempt, hedge and retry until there is an answer or no further attempt is allowed."""
     loop = asyncio.get_running_loop()
     call = state.call
     if first is not None:
@@ -197,7 +197,7 @@
     if call.answer_at_s is None:
         return late_after_ms
     left_ms = (call.answer_at_s - pending.began_s) * 1000
-    second_ms = replicas.slowest_usual_ms(state.service, call.route)
+    second_ms = replicas.max_median_ms(state.service, call.route)
     return timing.deferred_hedge_ms(late_after_ms, left_ms, second_ms)
 
 
@@ -360,7 +360,7 @@
     if replica is not None:
         _send_to(state, replica, now_s)
         return
-    reason = state.sender.replicas.why_none(state.service, state.call.route, now_s)
+    reason = state.sender.replicas.no_replica_reason(state.service, state.call.route, now_s)
     if isinstance(state.failure, sending.NotRun):
         state.failure = sending.NotRun(reason, sent=False)
 
@@ -382,14 +382,14 @@
 def _send_to(state: _AttemptState, replica: replica_module.Replica, now_s: float) -> None:
     sender, call = state.sender, state.call
     late_after_ms = sender.replicas.hedge_after_ms(replica, call.route)
-    send = replica_module.Send(now_s, late_after_ms / 1000, replica.entry.instance)
+    send = replica_module.Attempt(now_s, late_after_ms / 1000, replica.entry.instance)
     # Registered before its task runs, so that a cancellation in the same loop iteration finds it.
     replica.sends.add(send)
     if replica.is_cold(now_s):
         replica.cold_sent_s = now_s
     call.sends_by_service.setdefault(state.service, []).append(send)
     task = sender.tasks.start(tracking.send_and_record(sender, call, replica, send))
-    near = sender.replicas.is_near(replica.entry.data_centre)
+    near = sender.replicas.in_own_region(replica.entry.data_centre)
     sender.counters.add("direct.sent.near" if near else "direct.sent.far")
     call.sends.add(task)
     task.add_done_callback(call.sends.discard)
--- a/src/turmericlug/direct/handover.py
+++ b/src/turmericlug/direct/handover.py
@@ -97,7 +97,7 @@
         self,
         sender: sender_module.Sender,
         call: sending.Call,
-        first_choices: peers_module.FirstChoices,
+        first_choices: peers_module.FirstReplicas,
         answer_at_s: float,
     ) -> dict[str, PendingBatch]:
         """
@@ -141,10 +141,10 @@
         pending: PendingBatch,
         answer_at_s: float,
     ) -> bool:
-        """Send a batch and apply its answers; return false if the batch is lost."""
+        """Attempt a batch and apply its answers; return false if the batch is lost."""
         loop = asyncio.get_running_loop()
         peer = pending.peer
-        send = replica_module.Send(loop.time(), self._interim_timeout_s(peer.entry.data_centre))
+        send = replica_module.Attempt(loop.time(), self._interim_timeout_s(peer.entry.data_centre))
         peer.sends.add(send)
         try:
             await self._send_batch(sender, call, pending, answer_at_s, send)
@@ -160,7 +160,7 @@
             return False
         finally:
             peer.sends.discard(send)
-        peer.succeeded(1.0, 1.0, loop.time())
+        peer.record_success(1.0, 1.0, loop.time())
         return True
 
     def _move_to_other_owner(
@@ -171,7 +171,7 @@
 
         Direct attempts would open a connection for each part, too many at once to meet the goal.
         """
-        if placement.everyone_sends(sender.instance_count()):
+        if placement.all_send_directly(sender.instance_count()):
             return False
         open_shards = pending.open_shards
         if not open_shards:
@@ -202,7 +202,7 @@
         call: sending.Call,
         pending: PendingBatch,
         answer_at_s: float,
-        send: replica_module.Send,
+        send: replica_module.Attempt,
     ) -> None:
         loop = asyncio.get_running_loop()
         data_centre = pending.peer.entry.data_centre
@@ -232,7 +232,7 @@
                     answer = handover_codec.decode_answer(chunk, pending.shards)
                     if answer.first:
                         duration_ms = (loop.time() - now_s) * 1000
-                        self.peers.learn(data_centre, duration_ms - answer.spent_ms)
+                        self.peers.record_round_trip(data_centre, duration_ms - answer.spent_ms)
                         sender.counters.time_ms("handover.total_ms", duration_ms)
                         # The peer waits for the remaining slow parts until the caller's deadline.
                         limit.reschedule(call.deadline_s)
@@ -265,7 +265,7 @@
         began_s: float,
     ) -> None:
         now_s = asyncio.get_running_loop().time()
-        set_aside = pending.peer.failed(now_s)
+        set_aside = pending.peer.record_failure(now_s)
         sender.counters.add("handover.lost")
         decisions.log(
             "handover.lost",
@@ -335,4 +335,4 @@
 
 def _has_few_replicas(sender: sender_module.Sender, call: sending.Call, shard: str) -> bool:
     """Whether a shard has no more replicas than its route allows to send to."""
-    return len(sender.replicas.open_to(shard, call.route)) <= call.route.max_attempts
+    return len(sender.replicas.eligible(shard, call.route)) <= call.route.max_attempts
--- a/src/turmericlug/direct/sending.py
+++ b/src/turmericlug/direct/sending.py
@@ -47,7 +47,7 @@
     """Latency of a response to the caller."""
     answer_at_s: float | None = None
     """When a query over shards answers with the parts it has."""
-    sends_by_service: dict[str, list[replica_module.Send]] = attrs.field(factory=dict)
+    sends_by_service: dict[str, list[replica_module.Attempt]] = attrs.field(factory=dict)
     """Attempts at each service, in the order of sending."""
     handed_over: dict[str, str] = attrs.field(factory=dict)
     """The instance that each handed-over shard was last handed over to."""
@@ -242,7 +242,7 @@
     return status in _NOT_RUN_STATUSES
 
 
-def _timeout_outcome(progress: replica_module.Send) -> Outcome:
+def _timeout_outcome(progress: replica_module.Attempt) -> Outcome:
     if progress.written_s is None:
         return NotRun("no_connection_in_time", sent=False)
     return Unknown(NO_RESPONSE)
@@ -252,11 +252,11 @@
     call: Call,
     replica: replica_module.Replica,
     names: header_names_module.HeaderNames,
-    progress: replica_module.Send,
+    progress: replica_module.Attempt,
     get_withhold_reason: abc.Callable[[], str],
 ) -> Outcome:
     """
-    Send a request to a replica and wait for its response.
+    Attempt a request to a replica and wait for its response.
 
     :param progress: records when the request is written; can shorten the timeout
     :param get_withhold_reason: called just before the request is written; returns why it must not
@@ -264,7 +264,7 @@
     """
     loop = asyncio.get_running_loop()
     try:
-        async with asyncio.timeout_at(call.deadline_s) as progress.limit:
+        async with asyncio.timeout_at(call.deadline_s) as progress.timeout:
             fresh = not call.route.idempotent
             async with replica.pool.connection(call.route.priority, fresh) as connection:
                 if progress.unwanted:
--- a/tests/direct/test_attempts.py
+++ b/tests/direct/test_attempts.py
@@ -235,7 +235,7 @@
         sender = scripted.make_sender({"s": scripts})
         loop = asyncio.get_running_loop()
         for replica in sender.replicas.all():
-            replica.sends.add(replica_module.Send(loop.time() - 1.0, 0.05))
+            replica.sends.add(replica_module.Attempt(loop.time() - 1.0, 0.05))
         outcome = await attempts.get_answer(sender, scripted.make_call(), "s")
         await sender.tasks.close()
         assert isinstance(outcome, sending.Answered)
@@ -264,7 +264,7 @@
     ("age_s", "sent"),
     [
         pytest.param(1.0, 1, id="soon after"),
-        pytest.param(replica_module.MISDIRECTED_S + 1, 2, id="long after"),
+        pytest.param(replica_module.MISDIRECTED_PAUSE_S + 1, 2, id="long after"),
     ],
 )
 def test_a_misdirected_replica_gets_no_more_requests(age_s, sent):
@@ -280,7 +280,7 @@
         sender = scripted.make_sender({"s": {"a": ended}})
         first = await attempts.get_answer(sender, scripted.make_call(), "s")
         (replica,) = sender.replicas.all()
-        replica.elsewhere_until_s -= age_s
+        replica.misdirected_until_s -= age_s
         second = await attempts.get_answer(sender, scripted.make_call(), "s")
         await sender.tasks.close()
         return first, second, len(ended.requests)
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -69,9 +69,9 @@
     mutant.one(
         "owners-share-alike",
         "direct/budget.py",
-        "        return OWNERS_SHARE / owners",
+        "        return OWNERS_SLACK_SHARE / owners",
         "        return 1 / instances",
-        "direct/test_budget.py::test_an_owner_among_many_has_extra_sends_to_make",
+        "direct/test_budget.py::test_an_owner_among_many_instances_may_retry_all_failed_parts",
     ),
     mutant.one(
         "hedge-beyond-the-attempts-limit",
@@ -373,7 +373,7 @@
         "direct/replicas.py",
         "        if not (near and far):",
         "        if not near:",
-        "direct/test_replicas.py::test_connections_ahead_of_need",
+        "direct/test_replicas.py::test_prewarmed_connections",
     ),
     mutant.one(
         "every-count-kept",
@@ -400,8 +400,8 @@
     mutant.one(
         "misdirected-retried-like-shed",
         "direct/tracking.py",
-        "        replica.misdirected(now_s)\n",
-        "        replica.full_until_s = now_s + replica_module.SHED_PAUSE_S\n",
+        "        replica.record_misdirected(now_s)\n",
+        "        replica.shed_until_s = now_s + replica_module.SHED_BACKOFF_S\n",
         "direct/test_attempts.py::test_a_misdirected_replica_gets_no_more_requests",
     ),
     mutant.one(
@@ -414,7 +414,7 @@
     mutant.one(
         "started-again-is-the-same",
         "direct/replicas.py",
-        "    return known.born_ms != entry.born_ms or places[0] != places[1]",
+        "    return known.born_ms != entry.born_ms or endpoints[0] != endpoints[1]",
         "    return False",
         "entry/test_view.py::test_a_replica_that_starts_again_under_its_name_is_another_one",
     ),
@@ -437,7 +437,7 @@
         "direct/pool.py",
         "            if self.closed:\n                raise",
         "            if self.closed is None:\n                raise",
-        "direct/test_pool.py::test_a_pool_of_a_replica_that_is_gone_lends_nothing",
+        "direct/test_pool.py::test_a_closed_pool_provides_no_connections",
     ),
     mutant.one(
         "listen-when-loaded",
@@ -458,7 +458,7 @@
         "direct/replicas.py",
         "        expected_ms *= 1 + SHED_FACTOR * replica.current_shed_share(now_s)\n",
         "",
-        "direct/test_replicas.py::test_a_replica_that_sheds_does_not_use_up_the_extra_sends",
+        "direct/test_replicas.py::test_a_shedding_replica_does_not_exhaust_the_retry_budget",
     ),
     mutant.one(
         "no-retry-after-shedding",
@@ -599,14 +599,14 @@
         "direct/placement.py",
         "        return regions is None or self.regions.get(data_centre) in regions",
         "        return True",
-        "direct/test_regions.py::test_a_bound_request_reaches_only_replicas_of_its_regions",
+        "direct/test_regions.py::test_a_restricted_request_reaches_only_replicas_in_its_regions",
     ),
     mutant.one(
         "hand-over-without-regions",
         "entry/helping.py",
         "        regions=batch.regions,\n",
         "",
-        "direct/test_regions.py::test_an_instance_that_takes_a_batch_keeps_to_its_regions",
+        "direct/test_regions.py::test_a_peer_respects_the_regions_of_a_batch",
     ),
     mutant.one(
         "unreadable-regions-allow-all",
@@ -629,8 +629,8 @@
         "        if replica.entry.data_centre in self.replicas.evacuated:\n"
         "            return replicas_module.EVACUATED\n",
         "",
-        "direct/test_regions.py::"
-        "test_what_waits_for_a_connection_when_a_data_centre_is_evacuated_is_not_written",
+        "direct/test_regions.py"
+        "::test_an_evacuation_redirects_requests_that_wait_for_a_connection",
     ),
     mutant.one(
         "hold-an-evacuation-taken-back",
@@ -651,13 +651,13 @@
         "direct/replicas.py",
         "        if not replica.pool.has_idle:\n",
         "        if not now_s + 1:\n",
-        "direct/test_replicas.py" "::test_of_equal_replicas_one_with_an_idle_connection_goes_first",
+        "direct/test_replicas.py" "::test_a_replica_with_an_idle_connection_is_preferred",
     ),
     mutant.one(
         "fixed-pair-for-a-handed-over-part",
         "direct/attempts.py",
         "    if not is_retry:\n",
-        "    others = sender.replicas.open_to(service, call.route)\n"
+        "    others = sender.replicas.eligible(service, call.route)\n"
         "    rest = [each for each in others if each.entry.instance != state.shared_replica]\n"
         "    state.forbidden = rest[-1:] if state.shared_replica else []\n"
         "    if not is_retry:\n",
