--- a/src/turmericlug/direct/handover.py
+++ b/src/turmericlug/direct/handover.py
@@ -296,7 +296,7 @@
     """
     outcome = await asyncio.shield(handed.outcomes[shard])
     if isinstance(outcome, sending.AnsweredInBatch):
-        sender.quarantine.answered(call)
+        sender.quarantine.record_answer(call)
     if outcome is None and handed.may_have_sent:
         place = handed.peer.entry.data_centre
         return await obtaining.obtain(sender, call, shard, handed_to=place, again=True)
--- a/src/turmericlug/direct/quarantine.py
+++ b/src/turmericlug/direct/quarantine.py
@@ -44,7 +44,7 @@
     """The book of suspected requests, with the evidence that goes into it."""
 
     def __init__(self, counters: counters_module.Counters, now_s: abc.Callable[[], float]) -> None:
-        self.book = poison.Book()
+        self.table = poison.Book()
         self.enabled = True
         self.on_news: abc.Callable[[poison.Fingerprint], None] = lambda request: None
         """Called when something was learned here that other instances should know."""
@@ -57,9 +57,9 @@
 
     def verdict(self, request: poison.Fingerprint) -> poison.Verdict:
         """Return what may be done with a request now."""
-        if not (self.enabled and self.book.records):
+        if not (self.enabled and self.table.records):
             return poison.Verdict.ALLOWED
-        return self.book.verdict(request, self._now_s())
+        return self.table.verdict(request, self._now_s())
 
     def may_send(self, call: sending.Call) -> bool:
         """Whether a request may be sent to one more replica now."""
@@ -73,7 +73,7 @@
         return self.verdict(call.fingerprint) is poison.Verdict.SUSPECTED
 
     @contextlib.contextmanager
-    def under_way(self, call: sending.Call) -> abc.Iterator[None]:
+    def in_flight(self, call: sending.Call) -> abc.Iterator[None]:
         """Know of a request for the length of the block, to break it off once it is quarantined."""
         calls = self._under_way[call.fingerprint]
         calls.add(call)
@@ -84,18 +84,18 @@
             if not calls:
                 self._under_way.pop(call.fingerprint, None)
 
-    def answered(self, call: sending.Call) -> None:
+    def record_answer(self, call: sending.Call) -> None:
         """Take note that a replica has run a request to its end."""
         if call.vouched:
             return
         call.vouched = True
         request = call.fingerprint
-        if self.book.answered(request, self._now_s()):
+        if self.table.record_answer(request, self._now_s()):
             self._counters.add("poison.cleared")
             decisions.log("poison.cleared", request=call.request_id, content=request.hex())
             self.on_news(request)
 
-    async def settle(
+    async def record_outcome(
         self, call: sending.Call, replica: replica_module.Replica, outcome: sending.Outcome
     ) -> None:
         """
@@ -105,7 +105,7 @@
         of the first was known.
         """
         now_s = self._now_s()
-        if not isinstance(outcome, sending.Unknown) or self.book.vouched(call.fingerprint, now_s):
+        if not isinstance(outcome, sending.Unknown) or self.table.vouched(call.fingerprint, now_s):
             return
         if outcome.broken_off and await self._takes_no_connection(replica):
             self._ended(call.fingerprint, replica, call.on_trial)
@@ -114,7 +114,7 @@
             requests = self._unsettled.setdefault(key, collections.deque(maxlen=MOST_UNSETTLED))
             requests.append(_Unsettled(call.fingerprint, now_s, call.on_trial))
 
-    def lost(self, replica: replica_module.Replica) -> None:
+    def on_replica_lost(self, replica: replica_module.Replica) -> None:
         """Take note that the entry of a replica went without a notice: it has ended."""
         for each in self._unsettled.pop(_key(replica), ()):
             if each.at_s > self._now_s() - UNSETTLED_S:
@@ -123,7 +123,7 @@
     def learn(self, request: poison.Fingerprint, told: poison.Record) -> bool:
         """Take over what another instance knows of a request; whether it was news."""
         before = self.verdict(request)
-        if not self.book.learn(request, told, self._now_s()):
+        if not self.table.learn(request, told, self._now_s()):
             return False
         self._counters.add("poison.learned")
         self._changed(request, before, "learned")
@@ -134,31 +134,31 @@
         if self.verdict(request) is poison.Verdict.ALLOWED:
             return False
         self.on_news(request)
-        self.book.lift(request, self._now_s())
+        self.table.lift(request, self._now_s())
         self._counters.add("poison.lifted")
         decisions.log("poison.lifted", content=request.hex())
         return True
 
     def begin_trial(self, call: sending.Call) -> bool:
         """Begin the trial of a suspected request; false while another one is under way."""
-        if not self.book.begin_trial(call.fingerprint, self._now_s()):
+        if not self.table.begin_trial(call.fingerprint, self._now_s()):
             return False
         self._counters.add("poison.trial")
         decisions.log("poison.trial", request=call.request_id, content=call.fingerprint.hex())
         self.on_news(call.fingerprint)
         return True
 
-    def trial_not_run(self, call: sending.Call) -> None:
+    def cancel_trial(self, call: sending.Call) -> None:
         """Take note that no replica ran the trial of a request."""
-        self.book.trial_not_run(call.fingerprint, self._now_s())
+        self.table.cancel_trial(call.fingerprint, self._now_s())
 
-    def forget(self) -> None:
+    def expire(self) -> None:
         """Drop what no longer matters."""
         now_s = self._now_s()
-        forgotten = self.book.forget(now_s)
+        forgotten = self.table.expire(now_s)
         if forgotten:
             self._counters.add("poison.forgotten", forgotten)
-            decisions.log("poison.forgotten", requests=forgotten, left=len(self.book.records))
+            decisions.log("poison.forgotten", requests=forgotten, left=len(self.table.records))
         old = [key for key, each in self._unsettled.items() if each[-1].at_s < now_s - UNSETTLED_S]
         for key in old:
             del self._unsettled[key]
@@ -169,7 +169,7 @@
         if not self.enabled:
             return
         before = self.verdict(request)
-        self.book.ended(request, _key(replica), self._now_s(), on_trial)
+        self.table.record_crash(request, _key(replica), self._now_s(), on_trial)
         self._counters.add("poison.ended")
         decisions.log(
             "poison.ended",
@@ -187,12 +187,14 @@
         if verdict is before:
             return
         self._counters.add(f"poison.verdict.{verdict.value}")
-        record, now_s = self.book.records[request], self._now_s()
+        record, now_s = self.table.records[request], self._now_s()
         decisions.log(
             f"poison.verdict.{verdict.value}",
             content=request.hex(),
             how=how,
-            ends={name: round(now_s - at_s, 2) for name, at_s in record.recent(now_s).items()},
+            ends={
+                name: round(now_s - at_s, 2) for name, at_s in record.recent_crashes(now_s).items()
+            },
         )
         if verdict is poison.Verdict.QUARANTINED:
             # Replicas drop what waits in their queue once its connection is closed.
--- a/src/turmericlug/direct/tracking.py
+++ b/src/turmericlug/direct/tracking.py
@@ -31,7 +31,7 @@
         send.ended_s = asyncio.get_running_loop().time()
     _learn(sender, call, replica, outcome, send.began_s)
     try:
-        await sender.quarantine.settle(call, replica, outcome)
+        await sender.quarantine.record_outcome(call, replica, outcome)
     except asyncio.CancelledError:
         # The send has ended; whoever waits for it is told so, or waits for its deadline.
         return outcome
@@ -48,7 +48,7 @@
     now_s = asyncio.get_running_loop().time()
     duration_ms = (now_s - began_s) * 1000
     if isinstance(outcome, sending.Answered | sending.Failed):
-        sender.quarantine.answered(call)
+        sender.quarantine.record_answer(call)
     if isinstance(outcome, sending.Answered):
         times = sender.replicas.times(call.route.name, replica.entry.data_centre)
         replica.succeeded(duration_ms, times.usual_ms, now_s)
--- a/src/turmericlug/direct/trial.py
+++ b/src/turmericlug/direct/trial.py
@@ -38,7 +38,7 @@
         return _ending(sender, call)
     shards = [each for each in call.route.shards if sender.replicas.of(each)]
     if not shards:
-        sender.quarantine.trial_not_run(call)
+        sender.quarantine.cancel_trial(call)
         return answering.refusal(sender, sending.HELD)
     route = attrs.evolve(call.route, max_attempts=1)
     tried = attrs.evolve(call, route=route, on_trial=True, asked={}, sends=set())
@@ -69,7 +69,7 @@
     call.on_trial = True
     ending = await answering.single(sender, call, service)
     if ending.outcome == "refused":
-        sender.quarantine.trial_not_run(call)
+        sender.quarantine.cancel_trial(call)
     return _refused(sender, call) or ending
 
 
@@ -106,7 +106,7 @@
         case sending.Answered() | sending.Failed():
             return None
         case sending.NotRun():
-            sender.quarantine.trial_not_run(call)
+            sender.quarantine.cancel_trial(call)
             return _refused(sender, call) or answering.refusal(sender, sending.HELD)
     return _refused(sender, call) or answering.failure(502, sending.reason(outcome))
 
--- a/src/turmericlug/entry/beliefs.py
+++ b/src/turmericlug/entry/beliefs.py
@@ -95,10 +95,13 @@
         Held(
             request.hex(),
             record.verdict(now_s).value,
-            {replica: round(now_s - at_s, 1) for replica, at_s in record.recent(now_s).items()},
+            {
+                replica: round(now_s - at_s, 1)
+                for replica, at_s in record.recent_crashes(now_s).items()
+            },
             view_module.told_age_s(now_s - record.quarantined_s),
         )
-        for request, record in quarantine.book.held(now_s)
+        for request, record in quarantine.table.withheld(now_s)
     ]
     return sorted(found, key=lambda each: min(each.ends.values(), default=0.0))
 
--- a/src/turmericlug/entry/callers.py
+++ b/src/turmericlug/entry/callers.py
@@ -20,7 +20,7 @@
 from turmericlug.entry import view as view_module
 from turmericlug.http1 import client
 from turmericlug.http1 import messages
-from turmericlug.policy import patience
+from turmericlug.policy import caller_timeout
 from turmericlug.policy import slow_start
 from turmericlug.telemetry import decisions
 
@@ -81,8 +81,8 @@
         self._ends_at_s = math.inf
         self._source_age_s = source_age_s
         self._spread = Spread()
-        self._stated: collections.defaultdict[str, patience.StatedTimes] = collections.defaultdict(
-            patience.StatedTimes
+        self._stated: collections.defaultdict[str, caller_timeout.RemainingTimes] = (
+            collections.defaultdict(caller_timeout.RemainingTimes)
         )
         """What callers have stated, by route."""
         self._began_s = asyncio.get_running_loop().time()
@@ -202,7 +202,7 @@
             gone_ms=round((loop.time() - call.began_s) * 1000, 1),
         )
         try:
-            with self.sender.quarantine.under_way(call):
+            with self.sender.quarantine.in_flight(call):
                 ending = await self._ending(call, loop.time())
         except asyncio.CancelledError:
             self._left(call, loop.time())
@@ -226,7 +226,7 @@
         held = await trial.before(self.sender, call)
         if held is not None:
             return held
-        if not self._slow_start.begin(loop.time()) and not await self._turn(call):
+        if not self._slow_start.try_acquire(loop.time()) and not await self._turn(call):
             return answering.refusal(self.sender, STARTING, answering.storm_come_back_s)
         in_time = False
         began_s = loop.time()
@@ -236,13 +236,13 @@
             in_time = ending.answer.status == 200 and told_s <= call.goal_at_s
             return ending
         finally:
-            self._slow_start.end(loop.time(), loop.time() - began_s, in_time)
+            self._slow_start.release(loop.time(), loop.time() - began_s, in_time)
 
     async def _turn(self, call: sending.Call) -> bool:
         """Wait until a query may begin; false when that would be too late."""
         loop = asyncio.get_running_loop()
         turn: asyncio.Future[None] = loop.create_future()
-        waiting = slow_start.Waiting(
+        waiting = slow_start.WaitingQuery(
             call.route.priority, call.goal_at_s, call.deadline_s, lambda: turn.set_result(None)
         )
         if not self._slow_start.wait(waiting, loop.time()):
@@ -251,17 +251,17 @@
         try:
             await turn
         except asyncio.CancelledError:
-            self._slow_start.give_up(waiting)
+            self._slow_start.cancel(waiting)
             if turn.done() and not turn.cancelled():
                 # The turn came as the caller left: the next one takes it.
-                self._slow_start.end(loop.time(), 0.0, in_time=False)
+                self._slow_start.release(loop.time(), 0.0, in_time=False)
             raise
         self.sender.counters.add("entry.waited")
         decisions.log(
             "query.waited",
             request=call.request_id,
             waited_ms=round((loop.time() - began_s) * 1000, 1),
-            others=self._slow_start.waiting,
+            others=self._slow_start.queue_length,
         )
         return True
 
--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -44,7 +44,7 @@
 from turmericlug.http1 import server
 from turmericlug.kernel import kernel as kernel_module
 from turmericlug.kernel import tasks
-from turmericlug.policy import attendance
+from turmericlug.policy import liveness
 from turmericlug.policy import warm_up
 from turmericlug.telemetry import counters as counters_module
 from turmericlug.telemetry import decisions
@@ -227,7 +227,7 @@
         _place(kernel.find("settings")),
         view.peers,
         counters,
-        attendance.Attendance(),
+        liveness.PeerLiveness(),
     )
     kernel.provide("relayed", relayed)
     journal = journal_module.Journal()
@@ -275,9 +275,9 @@
 
     live.on_policy = on_policy
     view.on_instances = peers.forget_owners
-    view.replicas.on_lost = sender.quarantine.lost
+    view.replicas.on_lost = sender.quarantine.on_replica_lost
     kernel.provide("sender", sender)
-    teller = suspects.Teller(
+    teller = suspects.SuspectGossip(
         sender.quarantine,
         view.peers,
         kernel.find("counters"),
@@ -294,7 +294,9 @@
         questions.listening(
             entrance, settings.entry.callers_address, kernel.find("early listener")
         ),
-        tasks.background(_keep_warm(sender), teller.tell(), teller.keep_in_step(), stalls.watch()),
+        tasks.background(
+            _keep_warm(sender), teller.run_broadcast(), teller.run_sync(), stalls.watch()
+        ),
     ):
         yield entrance
     await sends.close()
--- a/src/turmericlug/entry/helping.py
+++ b/src/turmericlug/entry/helping.py
@@ -85,7 +85,7 @@
     answer_at_s = min(arrived_s + batch.answer_in_ms / 1000, call.deadline_s)
     call.answer_at_s = answer_at_s
     pending = set(parts)
-    with sender.quarantine.under_way(call):
+    with sender.quarantine.in_flight(call):
         try:
             done, pending = await asyncio.wait(pending, timeout=max(answer_at_s - loop.time(), 0.0))
             answer = _answer(parts, done, batch, (loop.time() - arrived_s) * 1000, first=True)
--- a/src/turmericlug/entry/relay.py
+++ b/src/turmericlug/entry/relay.py
@@ -24,7 +24,7 @@
 from turmericlug.entry import news_codec
 from turmericlug.http1 import client
 from turmericlug.http1 import messages
-from turmericlug.policy import attendance as attendance_module
+from turmericlug.policy import liveness as liveness_module
 from turmericlug.telemetry import counters as counters_module
 from turmericlug.telemetry import decisions
 
@@ -51,7 +51,7 @@
 def handler(
     journal: journal_module.Journal,
     source_age_s: abc.Callable[[], float],
-    attendance: attendance_module.Attendance,
+    attendance: liveness_module.PeerLiveness,
 ) -> messages.Handler:
     """Return the handler of questions for news."""
 
@@ -61,7 +61,7 @@
         after = _position(place)
         if not (after and wait_ms.isdigit() and name):
             return messages.Answer(404)
-        attendance.heard(name.decode("latin-1"), asyncio.get_running_loop().time())
+        attendance.record_contact(name.decode("latin-1"), asyncio.get_running_loop().time())
         try:
             # Told as soon as they are too old: an instance that waited a second first, with news
             # that were a little younger than the limit, asked the source itself 3 s after the relay
@@ -101,7 +101,7 @@
     place: placement.Place
     peers: replicas_module.Replicas
     counters: counters_module.Counters
-    attendance: attendance_module.Attendance
+    attendance: liveness_module.PeerLiveness
     rng: random.Random = attrs.field(factory=random.Random)
     _failures: dict[str, _Failures] = attrs.field(factory=dict)
     _direct_from_s: float = 0.0
@@ -156,12 +156,12 @@
         names = self._relay_names()
         others = [each.entry.instance for each in self.peers.of(self.place.data_centre)]
         if names[0] == self.place.name:
-            return self.attendance.silent(others, now_s)
+            return self.attendance.find_missing(others, now_s)
         if self.place.name not in names:
             return []
-        if len(others) > 1 and not self.attendance.is_asked(now_s, but=names[0]):
+        if len(others) > 1 and not self.attendance.has_recent_contact(now_s, but=names[0]):
             return []
-        return self.attendance.silent(names[:1], now_s)
+        return self.attendance.find_missing(names[:1], now_s)
 
     def tells_others(self) -> bool:
         """Whether others rely on how lately this instance has heard from the source."""
@@ -212,7 +212,7 @@
         except TimeoutError:
             return self._failed(relay, "silent")
         self._failures.pop(relay.entry.instance, None)
-        self.attendance.heard(relay.entry.instance, asyncio.get_running_loop().time())
+        self.attendance.record_contact(relay.entry.instance, asyncio.get_running_loop().time())
         return told
 
     def _failed(self, relay: replica_module.Replica, reason: str) -> None:
--- a/src/turmericlug/entry/suspects.py
+++ b/src/turmericlug/entry/suspects.py
@@ -21,8 +21,8 @@
 from turmericlug.http1 import client
 from turmericlug.http1 import messages
 from turmericlug.kernel import tasks as tasks_module
+from turmericlug.policy import gossip
 from turmericlug.policy import poison
-from turmericlug.policy import spread
 from turmericlug.telemetry import counters as counters_module
 from turmericlug.telemetry import decisions
 from turmericlug.wire import suspects_codec
@@ -41,7 +41,7 @@
 """Requests of one message: some 5 KB."""
 
 
-def handler(quarantine: quarantine_module.Quarantine, teller: Teller) -> messages.Handler:
+def handler(quarantine: quarantine_module.Quarantine, teller: SuspectGossip) -> messages.Handler:
     """Return the handler of what other instances tell."""
 
     async def handle(request: messages.Request) -> messages.Answer:
@@ -52,15 +52,15 @@
             decisions.log("poison.unreadable", reason=str(error))
             return messages.Answer(400)
         teller.learn(told.records)
-        book = quarantine.book
-        held = dict(book.held(now_s)) if told.wants_all else {}
+        book = quarantine.table
+        held = dict(book.withheld(now_s)) if told.wants_all else {}
         answer = suspects_codec.Suspects(held | book.contradicted(told.records, now_s))
         return messages.Answer(200, body=suspects_codec.encode(answer, now_s))
 
     return handle
 
 
-class Teller:
+class SuspectGossip:
     """Tells the other instances, and learns what they hold back."""
 
     def __init__(
@@ -108,13 +108,13 @@
 
         It is told on where instances are many, and where it contradicts what was told from here.
         """
-        many = spread.tells_on(len(self._peers))
+        many = gossip.must_forward(len(self._peers))
         for request, told in records.items():
             if self._quarantine.learn(request, told) and (many or request in self._told):
                 self._told.add(request)
                 self.note(request)
 
-    async def tell(self) -> None:
+    async def run_broadcast(self) -> None:
         """Tell what is due, for ever."""
         loop = asyncio.get_running_loop()
         async with tasks_module.background() as running:
@@ -142,24 +142,25 @@
         due = [each for each, due_s in self._untold.items() if due_s <= now_s][:MOST_AT_ONCE]
         for request in due:
             del self._untold[request]
-        book = self._quarantine.book
+        book = self._quarantine.table
         return {
             each: book.records[each]
             for each in due
-            if each in book.records and (each in self._told or book.records[each].recent(now_s))
+            if each in book.records
+            and (each in self._told or book.records[each].recent_crashes(now_s))
         }
 
     def _listeners(self) -> list[replica_module.Replica]:
-        return list(spread.listeners(list(self._peers.all()), self._rng))
+        return list(gossip.recipients(list(self._peers.all()), self._rng))
 
-    async def keep_in_step(self) -> None:
+    async def run_sync(self) -> None:
         """Learn after the start what others hold back, then exchange it regularly, for ever."""
         await self._ask_first()
         while True:
             await asyncio.sleep(EXCHANGE_EVERY_S * self._rng.uniform(0.75, 1.25))
-            self._quarantine.forget()
-            self._told &= self._quarantine.book.records.keys()
-            held = dict(self._quarantine.book.held(asyncio.get_running_loop().time()))
+            self._quarantine.expire()
+            self._told &= self._quarantine.table.records.keys()
+            held = dict(self._quarantine.table.withheld(asyncio.get_running_loop().time()))
             peers = list(self._peers.all())
             if held and peers:
                 await self._exchange(self._rng.choice(peers), held, wants_all=True)
--- a/src/turmericlug/owner/owner.py
+++ b/src/turmericlug/owner/owner.py
@@ -20,7 +20,7 @@
 from turmericlug.owner import submission
 from turmericlug.owner import suspects as suspects_module
 from turmericlug.owner import target
-from turmericlug.policy import spread
+from turmericlug.policy import gossip
 from turmericlug.rules import configuration
 from turmericlug.storage import instances
 from turmericlug.telemetry import counters as counters_module
@@ -65,7 +65,7 @@
         self._ranked_at = (-1, -1)
         self._tasks = tasks.Tasks()
         self.suspects = suspects_module.Suspects(
-            counters, self._tell_suspects, lambda: spread.tells_on(len(self._others()))
+            counters, self._tell_suspects, lambda: gossip.must_forward(len(self._others()))
         )
 
     def ranking(
@@ -278,14 +278,14 @@
         return [name for name in names if name != own]
 
     def _tell_suspects(self, content: bytes) -> None:
-        for name in spread.listeners(self._others(), self._rng):
+        for name in gossip.recipients(self._others(), self._rng):
             link = self._mesh.link(name)
             if link is not None:
                 link.tell(lambda envelope: setattr(envelope, "suspects", content))
 
     def on_suspects(self, request: server_module.Request) -> None:
         """Take over under which requests targets of others have ended."""
-        answer = self.suspects.on_told(request.message.suspects)
+        answer = self.suspects.merge_message(request.message.suspects)
         link = self._mesh.link(request.peer)
         if answer is not None and link is not None:
             link.tell(lambda envelope: setattr(envelope, "suspects", answer))
@@ -326,7 +326,7 @@
         while True:
             await self.open_owned()
             await self._close_unowned()
-            self.suspects.forget()
+            self.suspects.expire()
             await asyncio.sleep(0.5)
 
     async def _close_unowned(self) -> None:
--- a/src/turmericlug/owner/service_queue.py
+++ b/src/turmericlug/owner/service_queue.py
@@ -103,11 +103,11 @@
 
     def _may_start(self, part: part_module.Part) -> bool:
         """Whether a part may go to a replica; ends it where replicas ended under its request."""
-        held = self._suspects.holds(part)
+        held = self._suspects.check_start(part)
         if held == part_module.FAILED:
-            self._fail(part, suspects_module.HELD)
+            self._fail(part, suspects_module.WITHHELD)
         elif held:
-            self._give_up(part, suspects_module.HELD)
+            self._give_up(part, suspects_module.WITHHELD)
         return not held
 
     def _refuse(self, part: part_module.Part, reason: str, wait_ms: float = 0.0) -> None:
@@ -185,7 +185,7 @@
         waiting = len(self._late)
         for _ in range(waiting):
             part = self._late.popleft()
-            if part.done or not part.running or self._suspects.is_held(part):
+            if part.done or not part.running or self._suspects.is_withheld(part):
                 continue
             replica = choice.free(self.replicas.values(), now_s, part)
             if replica is None:
@@ -282,7 +282,7 @@
         duration_ms = (time.monotonic() - began_at_s) * 1000
         self._counters.time_ms("owner.target_ms", duration_ms)
         self._learn(replica, part, outcome, duration_ms)
-        await self._suspects.settle(part, replica, outcome, self._client)
+        await self._suspects.record_outcome(part, replica, outcome, self._client)
         if not part.done:
             self._settle(part, replica, outcome, attempt)
         self.pump()
@@ -378,8 +378,8 @@
         denied = ""
         if part.may_have_run and not part.repeatable:
             denied = "not_repeatable"
-        elif self._suspects.is_held(part):
-            denied = suspects_module.HELD
+        elif self._suspects.is_withheld(part):
+            denied = suspects_module.WITHHELD
         elif part.attempts > part.retries:
             denied = "used_up"
         elif time.monotonic() + _LEAST_TIME_S > part.deadline_s:
--- a/src/turmericlug/owner/suspects.py
+++ b/src/turmericlug/owner/suspects.py
@@ -18,7 +18,7 @@
 from turmericlug.telemetry import events
 from turmericlug.wire import suspects_codec
 
-HELD = "ends_targets"
+WITHHELD = "ends_targets"
 """Reason of a part that is not sent, since targets ended under it."""
 CONFIRM_S = 0.15
 """Longest wait for a target to refuse a connection: a journey to the farthest region and back."""
@@ -39,7 +39,7 @@
         :param tell: sends a message to other instances
         :param tells_on: whether instances are so many that what is learned is told on
         """
-        self.book = poison.Book()
+        self.table = poison.Book()
         self._counters = counters
         self._tell = tell
         self._tells_on = tells_on
@@ -48,16 +48,16 @@
 
     def verdict(self, request: poison.Fingerprint) -> poison.Verdict:
         """Return what may be done with a request now."""
-        return self.book.verdict(request, time.monotonic())
+        return self.table.verdict(request, time.monotonic())
 
-    def is_held(self, part: part_module.Part) -> bool:
+    def is_withheld(self, part: part_module.Part) -> bool:
         """Whether a part may go to no further target now; a trial looks for one that runs it."""
         verdict = self.verdict(part.fingerprint)
         if verdict is poison.Verdict.SUSPECTED:
             return part.may_have_run or not part.on_trial
         return verdict is poison.Verdict.QUARANTINED
 
-    def holds(self, part: part_module.Part) -> str:
+    def check_start(self, part: part_module.Part) -> str:
         """
         Return how a part ends that may not start; empty where it may.
 
@@ -72,7 +72,7 @@
         part.hedge = False
         return "" if part.on_trial else part_module.REFUSED
 
-    async def settle(
+    async def record_outcome(
         self,
         part: part_module.Part,
         replica: replica_module.Replica,
@@ -86,37 +86,37 @@
         the first was known.
         """
         if isinstance(outcome, target_module.Answered):
-            self.answered(part.fingerprint)
+            self.record_answer(part.fingerprint)
         elif outcome == target_module.CONNECTION_LOST:
             if await client.refuses(replica.address, CONFIRM_S):
                 start = f"{replica.instance}@{replica.generation}"
-                self.ended(part.fingerprint, start, part.on_trial)
+                self.record_crash(part.fingerprint, start, part.on_trial)
         elif part.on_trial and isinstance(outcome, target_module.NotRun):
-            self.book.trial_not_run(part.fingerprint, time.monotonic())
+            self.table.cancel_trial(part.fingerprint, time.monotonic())
 
-    def answered(self, request: poison.Fingerprint) -> None:
+    def record_answer(self, request: poison.Fingerprint) -> None:
         """Take note that a target has answered a request."""
-        if self.book.answered(request, time.monotonic()):
+        if self.table.record_answer(request, time.monotonic()):
             self._counters.add("poison.cleared")
             self._tell_of(request)
 
-    def ended(self, request: poison.Fingerprint, target: str, on_trial: bool) -> None:
+    def record_crash(self, request: poison.Fingerprint, target: str, on_trial: bool) -> None:
         """Take note that a target ended under a request."""
         before = self.verdict(request)
-        self.book.ended(request, target, time.monotonic(), on_trial)
+        self.table.record_crash(request, target, time.monotonic(), on_trial)
         self._counters.add("poison.ended")
         self._changed(request, before)
         self._tell_of(request)
 
     def begin_trial(self, request: poison.Fingerprint) -> bool:
         """Begin the trial of a suspected request; false while another one is under way."""
-        if not self.book.begin_trial(request, time.monotonic()):
+        if not self.table.begin_trial(request, time.monotonic()):
             return False
         self._counters.add("poison.trial")
         self._tell_of(request)
         return True
 
-    def on_told(self, content: bytes) -> bytes | None:
+    def merge_message(self, content: bytes) -> bytes | None:
         """
         Take over what another instance tells.
 
@@ -130,7 +130,7 @@
             return None
         for request, record in told.records.items():
             self._learn(request, record, now_s)
-        contradicted = self.book.contradicted(told.records, now_s)
+        contradicted = self.table.contradicted(told.records, now_s)
         if not contradicted:
             return None
         return suspects_codec.encode(suspects_codec.Suspects(contradicted), now_s)
@@ -138,28 +138,28 @@
     def _learn(self, request: poison.Fingerprint, record: poison.Record, now_s: float) -> None:
         """Take over one record, and tell it on where that is due."""
         before = self.verdict(request)
-        if not self.book.learn(request, record, now_s):
+        if not self.table.learn(request, record, now_s):
             return
         self._counters.add("poison.learned")
         self._changed(request, before)
         if request in self._told or self._tells_on():
             self._tell_of(request)
 
-    def forget(self) -> None:
+    def expire(self) -> None:
         """Drop what no longer matters."""
-        forgotten = self.book.forget(time.monotonic())
-        self._told &= self.book.records.keys()
+        forgotten = self.table.expire(time.monotonic())
+        self._told &= self.table.records.keys()
         self._counters.add("poison.forgotten", forgotten)
 
     def _changed(self, request: poison.Fingerprint, before: poison.Verdict) -> None:
         verdict = self.verdict(request)
         if verdict is not before:
             self._counters.add(f"poison.verdict.{verdict.value}")
-            ends = sorted(self.book.records[request].ends)
+            ends = sorted(self.table.records[request].ends)
             events.emit(f"poison.{verdict.value}", "warning", content=request.hex(), ends=ends)
 
     def _tell_of(self, request: poison.Fingerprint) -> None:
-        record = self.book.records.get(request)
+        record = self.table.records.get(request)
         if record is not None:
             self._told.add(request)
             suspects = suspects_codec.Suspects({request: record})
--- a/src/turmericlug/policy/patience.py
+++ b/src/turmericlug/policy/caller_timeout.py
@@ -28,7 +28,7 @@
 
 
 @attrs.define
-class StatedTimes:
+class RemainingTimes:
     """The latest times left that callers of one route have stated, in whole milliseconds."""
 
     _latest: collections.deque[int] = attrs.field(factory=collections.deque)
--- a/src/turmericlug/policy/spread.py
+++ b/src/turmericlug/policy/gossip.py
@@ -19,11 +19,11 @@
 _Peer = typing.TypeVar("_Peer")
 
 
-def listeners(peers: abc.Sequence[_Peer], rng: random.Random) -> abc.Sequence[_Peer]:
+def recipients(peers: abc.Sequence[_Peer], rng: random.Random) -> abc.Sequence[_Peer]:
     """Return the instances to tell."""
-    return rng.sample(peers, FAN_OUT) if tells_on(len(peers)) else peers
+    return rng.sample(peers, FAN_OUT) if must_forward(len(peers)) else peers
 
 
-def tells_on(peers: int) -> bool:
+def must_forward(peers: int) -> bool:
     """Whether those that are told tell others in turn."""
     return peers > FEW
--- a/src/turmericlug/policy/attendance.py
+++ b/src/turmericlug/policy/liveness.py
@@ -25,16 +25,16 @@
 
 
 @attrs.define
-class Attendance:
+class PeerLiveness:
     """When each instance was last heard."""
 
     _heard_s: dict[str, float] = attrs.field(factory=dict)
 
-    def heard(self, name: str, now_s: float) -> None:
+    def record_contact(self, name: str, now_s: float) -> None:
         """Take note that an instance has asked, or answered."""
         self._heard_s[name] = now_s
 
-    def silent(self, names: abc.Collection[str], now_s: float) -> list[str]:
+    def find_missing(self, names: abc.Collection[str], now_s: float) -> list[str]:
         """
         Return those that have spoken before and are missed now.
 
@@ -46,7 +46,7 @@
         missed = [name for name in known if now_s - self._heard_s[name] > SILENT_S]
         return missed if len(missed) <= max(1, MOST_SHARE * len(known)) else []
 
-    def is_asked(self, now_s: float, but: str) -> bool:
+    def has_recent_contact(self, now_s: float, but: str) -> bool:
         """Whether any other instance than one has been heard lately."""
         return any(name != but and now_s - at_s <= SILENT_S for name, at_s in self._heard_s.items())
 
--- a/src/turmericlug/policy/poison.py
+++ b/src/turmericlug/policy/poison.py
@@ -24,7 +24,7 @@
 
 import attrs
 
-ENDS_TO_SUSPECT = 3
+CRASHES_TO_SUSPECT = 3
 """Replicas that ended under a request. One or two are coincidence where replicas end each day."""
 ENDS_KEPT = 8
 """Replicas of one request that are named in logs and told to others."""
@@ -78,7 +78,7 @@
         held_s = quarantine_s(self.quarantines)
         if now_s < tried_s + held_s:
             return Verdict.QUARANTINED
-        if now_s < tried_s + 2 * held_s or len(self.recent(now_s)) >= ENDS_TO_SUSPECT:
+        if now_s < tried_s + 2 * held_s or len(self.recent_crashes(now_s)) >= CRASHES_TO_SUSPECT:
             return Verdict.SUSPECTED
         return Verdict.ALLOWED
 
@@ -86,7 +86,7 @@
         """Whether an end at a time speaks against the request: nothing vouched for it then."""
         return at_s > self.answered_s + MEMORY_S
 
-    def recent(self, now_s: float) -> dict[str, float]:
+    def recent_crashes(self, now_s: float) -> dict[str, float]:
         """Return the ends that speak against the request and are not too long ago."""
         return {
             replica: at_s
@@ -110,15 +110,20 @@
     def summary(self, now_s: float) -> tuple[object, ...]:
         """Return what is worth telling on; times of what is known already are not."""
         on_trial = now_s < self.trial_until_s
-        return self.verdict(now_s), frozenset(self.recent(now_s)), self.quarantines, on_trial
+        return (
+            self.verdict(now_s),
+            frozenset(self.recent_crashes(now_s)),
+            self.quarantines,
+            on_trial,
+        )
 
-    def forget(self, now_s: float) -> None:
+    def expire(self, now_s: float) -> None:
         """Drop ends that are too long ago, which would keep out others."""
-        self.ends = self.recent(now_s)
+        self.ends = self.recent_crashes(now_s)
 
     def is_over(self, now_s: float) -> bool:
         """Whether nothing of it matters any more."""
-        if self.verdict(now_s) is not Verdict.ALLOWED or self.recent(now_s):
+        if self.verdict(now_s) is not Verdict.ALLOWED or self.recent_crashes(now_s):
             return False
         return now_s > max(self.answered_s + MEMORY_S, self.trial_until_s)
 
@@ -162,7 +167,7 @@
         )
         return answered_s >= now_s - MEMORY_S
 
-    def answered(self, request: Fingerprint, now_s: float) -> bool:
+    def record_answer(self, request: Fingerprint, now_s: float) -> bool:
         """
         Take note that a replica answered a request.
 
@@ -179,7 +184,9 @@
         record.answered_s = now_s
         return cleared
 
-    def ended(self, request: Fingerprint, replica: str, now_s: float, on_trial: bool) -> Verdict:
+    def record_crash(
+        self, request: Fingerprint, replica: str, now_s: float, on_trial: bool
+    ) -> Verdict:
         """
         Take note that a replica ended under a request.
 
@@ -189,7 +196,7 @@
         if self.vouched(request, now_s):
             return Verdict.ALLOWED
         record = self._record(request, now_s)
-        record.forget(now_s)
+        record.expire(now_s)
         record.merge(Record({replica: now_s}))
         if on_trial:
             record.quarantined_s = now_s
@@ -204,7 +211,7 @@
         record.trial_until_s = now_s + TRIAL_S
         return True
 
-    def trial_not_run(self, request: Fingerprint, now_s: float) -> None:
+    def cancel_trial(self, request: Fingerprint, now_s: float) -> None:
         """Take note that no replica ran the trial: another one may begin."""
         record = self.records.get(request)
         if record is not None:
@@ -227,14 +234,14 @@
             return False
         record = self._record(request, now_s)
         record.answered_s = max(record.answered_s, self._vouched.get(request, -math.inf))
-        record.forget(now_s)
+        record.expire(now_s)
         before = record.summary(now_s)
-        record.merge(attrs.evolve(told, ends=told.recent(now_s)))
+        record.merge(attrs.evolve(told, ends=told.recent_crashes(now_s)))
         return record.summary(now_s) != before
 
     def contradicts(self, request: Fingerprint, told: Record, now_s: float) -> bool:
         """Whether an answer is known here that whoever told of a request does not know."""
-        if not (told.recent(now_s) or told.verdict(now_s) is not Verdict.ALLOWED):
+        if not (told.recent_crashes(now_s) or told.verdict(now_s) is not Verdict.ALLOWED):
             return False
         return self.records[request].answered_s > told.answered_s + SAME_WITHIN_S
 
@@ -253,14 +260,14 @@
             if request in self.records and self.contradicts(request, told, now_s)
         }
 
-    def forget(self, now_s: float) -> int:
+    def expire(self, now_s: float) -> int:
         """Drop what no longer matters; returns how many requests that were."""
         over = [each for each, record in self.records.items() if record.is_over(now_s)]
         for request in over:
             del self.records[request]
         return len(over)
 
-    def held(self, now_s: float) -> abc.Iterator[tuple[Fingerprint, Record]]:
+    def withheld(self, now_s: float) -> abc.Iterator[tuple[Fingerprint, Record]]:
         """Return the requests that are suspected or quarantined."""
         for request, record in self.records.items():
             if record.verdict(now_s) is not Verdict.ALLOWED:
@@ -275,6 +282,6 @@
 
     def _make_room(self, now_s: float) -> None:
         """Drop the oldest record, of those held against a request only where there is no other."""
-        held = {request for request, _ in self.held(now_s)}
+        held = {request for request, _ in self.withheld(now_s)}
         oldest = next((each for each in self.records if each not in held), None)
         self.records.pop(oldest if oldest is not None else next(iter(self.records)))
--- a/src/turmericlug/policy/slow_start.py
+++ b/src/turmericlug/policy/slow_start.py
@@ -21,7 +21,7 @@
 
 import attrs
 
-FIRST = 4
+INITIAL_LIMIT = 4
 """Queries at a time in the beginning: with seven instances and four slots a shard, about seven
 parts for each slot."""
 ANSWERS_FOR_ONE_MORE = 2
@@ -33,7 +33,7 @@
 """Age from which nothing is limited: the storm after an outage of two seconds lasts for two. An
 instance that was started well before its first callers would keep some of them waiting for
 nothing."""
-USUAL_GUESS_S = 0.1
+INITIAL_DURATION_S = 0.1
 USUAL_GAIN = 0.2
 """Weight of a query's duration in the usual one: about the last nine count."""
 
@@ -41,7 +41,7 @@
 
 
 @attrs.define(eq=False)
-class Waiting:
+class WaitingQuery:
     """A query that waits for its turn."""
 
     priority: int
@@ -66,26 +66,26 @@
         self._over_s = began_s + OVER_AFTER_S
         self._in_time = 0
         self._under_way = 0
-        self._usual_s = USUAL_GUESS_S
-        self._waiting: list[Waiting] = []
+        self._usual_s = INITIAL_DURATION_S
+        self._waiting: list[WaitingQuery] = []
 
     @property
-    def waiting(self) -> int:
+    def queue_length(self) -> int:
         """How many queries wait."""
         return len(self._waiting)
 
     def _most(self, now_s: float) -> float:
-        most = FIRST + self._in_time // ANSWERS_FOR_ONE_MORE
+        most = INITIAL_LIMIT + self._in_time // ANSWERS_FOR_ONE_MORE
         return float("inf") if now_s >= self._over_s or most >= OVER else most
 
-    def begin(self, now_s: float) -> bool:
+    def try_acquire(self, now_s: float) -> bool:
         """Begin a query if there is room; nobody overtakes those that wait."""
         if self._waiting or self._under_way >= self._most(now_s):
             return False
         self._under_way += 1
         return True
 
-    def wait(self, query: Waiting, now_s: float) -> bool:
+    def wait(self, query: WaitingQuery, now_s: float) -> bool:
         """
         Let a query wait for its turn; false when that would come too late for its deadline.
         """
@@ -96,12 +96,12 @@
         self._waiting.append(query)
         return True
 
-    def give_up(self, query: Waiting) -> None:
+    def cancel(self, query: WaitingQuery) -> None:
         """Take a query that waits out: its caller has left."""
         if query in self._waiting:
             self._waiting.remove(query)
 
-    def end(self, now_s: float, duration_s: float, in_time: bool) -> None:
+    def release(self, now_s: float, duration_s: float, in_time: bool) -> None:
         """Take note of the end of a query that was begun, and let others begin."""
         self._under_way -= 1
         self._in_time += in_time
@@ -116,7 +116,7 @@
             self._under_way += 1
             first.on_turn()
 
-    def _rank(self, query: Waiting, now_s: float) -> tuple[bool, int, float]:
+    def _rank(self, query: WaitingQuery, now_s: float) -> tuple[bool, int, float]:
         """Return the place in the line: the lowest goes first."""
         too_late = now_s + self._usual_s > query.goal_at_s
         return too_late, query.priority, query.deadline_s if too_late else query.number
--- a/tests/direct/test_quarantine.py
+++ b/tests/direct/test_quarantine.py
@@ -33,7 +33,7 @@
 
     async def main():
         sender = scripted.make_sender(scripts)
-        sender.replicas.on_lost = sender.quarantine.lost
+        sender.replicas.on_lost = sender.quarantine.on_replica_lost
         call = scripted.make_call(**changes)
         call.fingerprint = Q
         async with asyncio.timeout(10):
@@ -95,7 +95,7 @@
         if gone:
             sender.replicas.put(scripted.entry("a", "s", draining=leaving))
             sender.replicas.remove("a")
-        record = sender.quarantine.book.records.get(Q)
+        record = sender.quarantine.table.records.get(Q)
         return len(record.ends) if record else 0
 
     replica.script = list(replica.script)
@@ -109,7 +109,7 @@
         sender.replicas.put(scripted.entry("a", "s", born_ms=1))
         await obtaining.obtain(sender, call, "s")
         sender.replicas.put(scripted.entry("a", "s", born_ms=2))
-        return list(sender.quarantine.book.records[Q].ends)
+        return list(sender.quarantine.table.records[Q].ends)
 
     assert play({"s": {"a": scripted.Ending(takes_connections=True)}}, scenario) == ["a@1"]
 
@@ -120,7 +120,7 @@
     async def scenario(sender, call):
         await obtaining.obtain(sender, call, "s")
         sender.replicas.remove("a")
-        return len(sender.quarantine.book.records[Q].ends)
+        return len(sender.quarantine.table.records[Q].ends)
 
     found = play({"s": {"a": scripted.Scripted(30.0)}}, scenario, max_attempts=1, deadline_ms=50.0)
     assert found == 1
@@ -138,7 +138,7 @@
 
     ending = play(scripts, scenario, **changes)
     assert (ending.outcome, ending.answer.status) == ("failed", 502)
-    assert reached(scripts) <= len(SHARDS) + poison.ENDS_TO_SUSPECT - 1
+    assert reached(scripts) <= len(SHARDS) + poison.CRASHES_TO_SUSPECT - 1
 
 
 STALL_S = 0.15
@@ -169,7 +169,7 @@
 
     ending = play(scripts, scenario, **changes)
     assert ending.outcome == "failed"
-    assert reached(scripts) <= len(SHARDS) + poison.ENDS_TO_SUSPECT - 1
+    assert reached(scripts) <= len(SHARDS) + poison.CRASHES_TO_SUSPECT - 1
 
 
 class WiredConnection(scripted.Connection):
@@ -251,7 +251,7 @@
         return await answering.all_shards(sender, call)
 
     play(scripts, scenario, **changes)
-    assert reached(scripts) <= len(SHARDS) + poison.ENDS_TO_SUSPECT - 1
+    assert reached(scripts) <= len(SHARDS) + poison.CRASHES_TO_SUSPECT - 1
 
 
 class EndingSlowly(scripted.Ending):
@@ -293,9 +293,9 @@
 
 
 def suspect(sender):
-    for number in range(poison.ENDS_TO_SUSPECT):
+    for number in range(poison.CRASHES_TO_SUSPECT):
         now_s = asyncio.get_running_loop().time()
-        sender.quarantine.book.ended(Q, f"r{number}", now_s, on_trial=False)
+        sender.quarantine.table.record_crash(Q, f"r{number}", now_s, on_trial=False)
 
 
 @pytest.mark.parametrize(
@@ -385,7 +385,9 @@
     async def scenario(sender, call):
         sender.quarantine.enabled = enabled
         suspect(sender)
-        sender.quarantine.book.ended(Q, "t", asyncio.get_running_loop().time(), on_trial=True)
+        sender.quarantine.table.record_crash(
+            Q, "t", asyncio.get_running_loop().time(), on_trial=True
+        )
         return await trial.before(sender, call)
 
     ending = play(scripts, scenario, **changes)
@@ -407,7 +409,7 @@
     async def scenario(sender, call):
         now_s = asyncio.get_running_loop().time()
         told = poison.Record({f"r{n}": now_s for n in range(4)}, quarantined_s=now_s, quarantines=1)
-        with sender.quarantine.under_way(call):
+        with sender.quarantine.in_flight(call):
             work = asyncio.create_task(answering.all_shards(sender, call))
             await asyncio.sleep(0.05)
             assert sender.quarantine.learn(Q, told)
@@ -425,10 +427,10 @@
         (replica,) = sender.replicas.of("s")
         for number in range(3 * quarantine.MOST_UNSETTLED):
             call.fingerprint = b"%d" % number
-            await sender.quarantine.settle(call, replica, sending.Unknown(sending.SILENT))
+            await sender.quarantine.record_outcome(call, replica, sending.Unknown(sending.SILENT))
         kept = sum(len(each) for each in sender.quarantine._unsettled.values())
         sender.quarantine._now_s = lambda: 1e9
-        sender.quarantine.forget()
+        sender.quarantine.expire()
         return kept, len(sender.quarantine._unsettled)
 
     found = play({"s": {"a": scripted.Scripted(GOOD)}}, scenario)
--- a/tests/direct/test_regions.py
+++ b/tests/direct/test_regions.py
@@ -82,7 +82,7 @@
     async def scenario(sender, call):
         call.fingerprint = b"q"
         for name in ("a", "b", "c"):
-            sender.quarantine.book.ended(b"q", name, sender.quarantine._now_s(), False)
+            sender.quarantine.table.record_crash(b"q", name, sender.quarantine._now_s(), False)
         assert sender.quarantine.verdict(b"q") is poison.Verdict.SUSPECTED
         return await trial.before(sender, call)
 
--- a/tests/entry/test_absence.py
+++ b/tests/entry/test_absence.py
@@ -15,7 +15,7 @@
 from turmericlug.entry import news
 from turmericlug.entry import relay
 from turmericlug.entry import view as view_module
-from turmericlug.policy import attendance
+from turmericlug.policy import liveness
 from turmericlug.telemetry import counters
 
 
@@ -69,7 +69,7 @@
     totals = counters.Counters()
     source = Source(outcome)
     relayed = relay.RelayedSource(
-        source, None, scripted.PLACE, peers, totals, attendance.Attendance()
+        source, None, scripted.PLACE, peers, totals, liveness.PeerLiveness()
     )
     waiting = list(missed)
     looks = []
--- a/tests/entry/test_beliefs.py
+++ b/tests/entry/test_beliefs.py
@@ -52,7 +52,7 @@
         quarantine = quarantine_module.Quarantine(counters.Counters(), loop.time)
         for number, request in enumerate(held):
             for replica in ("r1", "r2", "r3"):
-                quarantine.book.ended(request, replica, loop.time(), on_trial=bool(number))
+                quarantine.table.record_crash(request, replica, loop.time(), on_trial=bool(number))
         handle = beliefs.handler("e-1", view, lambda: view.ready, quarantine)
         answer = await handle(messages.Request(method, target, (), b"", 0.0))
         return answer.status, json.loads(answer.body) if answer.status == 200 else None
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -146,7 +146,7 @@
     together their queries are all late; so some wait for their turn, and one whose time would be
     over by then is told at once that it has not run, and when to come back.
     """
-    taken, more = slow_start.FIRST, 3
+    taken, more = slow_start.INITIAL_LIMIT, 3
 
     async def main():
         shard = scripted.Scripted(0.02, *[scripted.response(body=bytes(16))] * (taken + more))
@@ -166,15 +166,15 @@
 
         asked = [ask_with() for _ in range(taken + more)]
         await asyncio.sleep(0)
-        refused = ask_with((b"time-left", b"%d" % (1000 * slow_start.USUAL_GUESS_S)))
+        refused = ask_with((b"time-left", b"%d" % (1000 * slow_start.INITIAL_DURATION_S)))
         left = ask_with()
         await asyncio.sleep(0)
         assert refused.done(), "at once"
         assert not any(each.done() for each in asked)
-        assert callers._slow_start.waiting == more + 1
+        assert callers._slow_start.queue_length == more + 1
         left.cancel()
         await asyncio.sleep(0)
-        assert callers._slow_start.waiting == more, "its caller has left"
+        assert callers._slow_start.queue_length == more, "its caller has left"
         answers = await asyncio.gather(*asked)
         await sender.tasks.finish()
         return answers, refused.result(), len(shard.requests)
--- a/tests/entry/test_relay.py
+++ b/tests/entry/test_relay.py
@@ -25,7 +25,7 @@
 from turmericlug.http1 import client
 from turmericlug.http1 import messages
 from turmericlug.http1 import server
-from turmericlug.policy import attendance
+from turmericlug.policy import liveness
 from turmericlug.telemetry import counters
 
 PLACE = placement.Place("own", "dc", {"dc": "r"})
@@ -110,14 +110,14 @@
         PLACE,
         peers,
         counters.Counters(),
-        attendance.Attendance(),
+        liveness.PeerLiveness(),
         random.Random(1),
     )
 
 
 def tell(journal, age_s=0.5, heard=None):
     """Return the handler of a relay that heard from the store so long ago."""
-    return relay.handler(journal, lambda: age_s, heard or attendance.Attendance())
+    return relay.handler(journal, lambda: age_s, heard or liveness.PeerLiveness())
 
 
 def question(after=5, wait_ms=1000, name="x"):
@@ -329,11 +329,11 @@
     "target", [b"", b"x/1000/a", b"5", b"5/1000", b"5/1000/", b"5/x/a"], ids=repr
 )
 def test_a_question_of_another_form_is_none(target):
-    heard = attendance.Attendance()
+    heard = liveness.PeerLiveness()
     request = attrs.evolve(question(), target=relay.PATH + target)
     answer = asyncio.run(tell(journal_with(replica("a", 11)), 0.5, heard)(request))
     assert answer.status == 404
-    assert not heard.is_asked(0.0, but="")
+    assert not heard.has_recent_contact(0.0, but="")
 
 
 @pytest.mark.parametrize("data_centres", [[], ["beside"], ["beside", "far"]])
@@ -413,5 +413,5 @@
         peers.put(routes.ReplicaEntry(name, "dc", "h", 1, "dc", 1, False, 0))
     source = make_source(None, peers)
     for place, at_s in heard.items():
-        source.attendance.heard(names[int(place)], at_s)
+        source.attendance.record_contact(names[int(place)], at_s)
     assert source.missed(10.0) == [names[int(each)] for each in sorted(missed)]
--- a/tests/entry/test_suspects.py
+++ b/tests/entry/test_suspects.py
@@ -42,7 +42,7 @@
         self.counters = counters_module.Counters()
         self.quarantine = quarantine_module.Quarantine(self.counters, loop.time)
         self.peers = replicas_module.Replicas(self._make_pool, PLACE, budget.Allowance())
-        self.teller = suspects.Teller(
+        self.teller = suspects.SuspectGossip(
             self.quarantine, self.peers, self.counters, "dc", random.Random(name)
         )
         self.deaf = False
@@ -69,7 +69,7 @@
 
     async def start(self):
         """Tell others, and keep in step with them."""
-        works = (self.teller.tell(), self.teller.keep_in_step())
+        works = (self.teller.run_broadcast(), self.teller.run_sync())
         await self.stack.enter_async_context(tasks.background(*works))
 
     def meet(self, others):
@@ -163,7 +163,7 @@
     async def scenario(instances):
         call = scripted.make_call()
         call.fingerprint = Q
-        instances[3].quarantine.answered(call)
+        instances[3].quarantine.record_answer(call)
         for number in range(3):
             instances[0].end(f"r{number}")
         assert instances[0].verdict() is poison.Verdict.SUSPECTED
@@ -181,11 +181,11 @@
         instances[0].end("r0")
         call = scripted.make_call()
         call.fingerprint = Q
-        instances[0].quarantine.answered(call)
+        instances[0].quarantine.record_answer(call)
         before = instances[0].counters.totals["poison.exchanges"]
         await asyncio.sleep(2 * suspects.SETTLE_S)
         assert instances[0].counters.totals["poison.exchanges"] == before
-        assert not instances[1].quarantine.book.records
+        assert not instances[1].quarantine.table.records
 
     play(3, scenario)
 
@@ -215,7 +215,7 @@
         assert {each.verdict() for each in instances} == {poison.Verdict.SUSPECTED}
         call = scripted.make_call()
         call.fingerprint = Q
-        instances[0].quarantine.answered(call)
+        instances[0].quarantine.record_answer(call)
         await until(lambda: all(each.verdict() is poison.Verdict.ALLOWED for each in instances))
         before = -1
         async with asyncio.timeout(10):
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -225,16 +225,16 @@
     mutant.one(
         "nobody-is-missed",
         "entry/relay.py",
-        "            return self.attendance.silent(others, now_s)",
+        "            return self.attendance.find_missing(others, now_s)",
         "            return []",
         "entry/test_relay.py::test_who_is_missed",
     ),
     mutant.one(
         "all-are-missed-after-a-freeze",
-        "policy/attendance.py",
+        "policy/liveness.py",
         "        return missed if len(missed) <= max(1, MOST_SHARE * len(known)) else []",
         "        return missed",
-        "policy/test_attendance.py::test_who_is_missed",
+        "policy/test_liveness.py::test_who_is_missed",
     ),
     mutant.one(
         "entry-written-once",
@@ -394,7 +394,7 @@
     mutant.one(
         "storm-let-in",
         "entry/callers.py",
-        "        if not self._slow_start.begin(loop.time()) and not await self._turn(call):",
+        "        if not self._slow_start.try_acquire(loop.time()) and not await self._turn(call):",
         "        if False:",
         "entry/test_callers.py::test_an_instance_that_has_just_started_takes_few_queries",
     ),
@@ -528,7 +528,7 @@
     mutant.one(
         "ends-elsewhere-do-not-count",
         "policy/poison.py",
-        "        record.merge(attrs.evolve(told, ends=told.recent(now_s)))\n",
+        "        record.merge(attrs.evolve(told, ends=told.recent_crashes(now_s)))\n",
         "",
         "policy/test_poison_fleet.py::test_ends_one_at_a_time_at_different_instances_add_up",
     ),
--- a/tests/owner/test_service_queue.py
+++ b/tests/owner/test_service_queue.py
@@ -291,10 +291,10 @@
 
     replies = play(targets, steps)
     assert {reply.outcome for reply in replies} <= {"failed", "refused"}
-    assert (len(targets.sent) <= poison.ENDS_TO_SUSPECT + 1) is refuses
+    assert (len(targets.sent) <= poison.CRASHES_TO_SUSPECT + 1) is refuses
     if refuses:
         ended = [(reply.outcome, reply.reason) for reply in replies[-2:]]
-        assert ended == [("failed", suspects_module.HELD)] * 2
+        assert ended == [("failed", suspects_module.WITHHELD)] * 2
 
 
 def test_an_answered_request_is_cleared_and_goes_on():
@@ -302,7 +302,7 @@
     targets = Targets({"r0": [ANSWER], "r1": [ANSWER]})
     suspects = make_suspects()
     for number in range(3):
-        suspects.ended(b"", f"t{number}", on_trial=False)
+        suspects.record_crash(b"", f"t{number}", on_trial=False)
 
     async def steps(queue, replies):
         for number in range(3):
@@ -319,7 +319,7 @@
     targets = Targets({"r0": [ANSWER]}, delay_s=0.05)
     suspects = make_suspects()
     for number in range(3):
-        suspects.ended(b"", f"t{number}", on_trial=False)
+        suspects.record_crash(b"", f"t{number}", on_trial=False)
 
     async def steps(queue, replies):
         submit(queue, replies, number=0)
@@ -334,10 +334,10 @@
     told = []
     seeing, hearing = make_suspects(told.append), make_suspects()
     for number in range(3):
-        seeing.ended(b"q", f"t{number}", on_trial=False)
+        seeing.record_crash(b"q", f"t{number}", on_trial=False)
     for content in told:
-        hearing.on_told(content)
-    hearing.on_told(b"damaged")
+        hearing.merge_message(content)
+    hearing.merge_message(b"damaged")
     assert hearing.verdict(b"q") is poison.Verdict.SUSPECTED
 
 
@@ -345,16 +345,16 @@
     """Told to the one that suspects it, which tells the others: all of them may know an answer."""
     told = []
     seeing, knowing, other = make_suspects(told.append), make_suspects(), make_suspects()
-    knowing.answered(b"q")
+    knowing.record_answer(b"q")
     for number in range(3):
-        seeing.ended(b"q", f"t{number}", on_trial=False)
+        seeing.record_crash(b"q", f"t{number}", on_trial=False)
     for content in told[:]:
-        other.on_told(content)
+        other.merge_message(content)
     assert other.verdict(b"q") is poison.Verdict.SUSPECTED
     told_before = len(told)
-    answer = knowing.on_told(told[-1])
-    assert seeing.on_told(answer) is None
+    answer = knowing.merge_message(told[-1])
+    assert seeing.merge_message(answer) is None
     assert seeing.verdict(b"q") is poison.Verdict.ALLOWED
     assert len(told) == told_before + 1
-    assert other.on_told(told[-1]) is None
+    assert other.merge_message(told[-1]) is None
     assert other.verdict(b"q") is poison.Verdict.ALLOWED
--- a/tests/policy/fleet_model.py
+++ b/tests/policy/fleet_model.py
@@ -117,7 +117,7 @@
     def try_one(self, query):
         shard = self.rng.randrange(SHARDS)
         if not self.send(query, shard, 1, on_trial=True):
-            self.books[query.instance].trial_not_run(query.request, self.now_s)
+            self.books[query.instance].cancel_trial(query.request, self.now_s)
             self.again(query)
 
     def again(self, query):
@@ -155,7 +155,7 @@
         query = part.query
         query.open_parts -= 1
         query.answered += 1
-        if self.books[query.instance].answered(query.request, self.now_s):
+        if self.books[query.instance].record_answer(query.request, self.now_s):
             self.tell(query.instance, query.request)
         if part.on_trial:
             self.send_all(query)
@@ -180,7 +180,7 @@
         query = part.query
         query.open_parts -= 1
         book = self.books[query.instance]
-        verdict = book.ended(query.request, name, self.now_s, part.on_trial)
+        verdict = book.record_crash(query.request, name, self.now_s, part.on_trial)
         if verdict is not poison.Verdict.ALLOWED:
             self.tell(query.instance, query.request)
         else:
@@ -193,7 +193,7 @@
 
     def tell_if_open(self, instance, request):
         record = self.books[instance].records.get(request)
-        if record is not None and record.recent(self.now_s):
+        if record is not None and record.recent_crashes(self.now_s):
             self.tell(instance, request)
 
     def tell(self, instance, request):
--- a/tests/policy/test_patience.py
+++ b/tests/policy/test_caller_timeout.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from turmericlug.policy import patience
+from turmericlug.policy import caller_timeout
 
 
 @pytest.mark.parametrize(
@@ -28,7 +28,7 @@
     ],
 )
 def test_what_is_gone(stated_ms, left_ms, spent_ms):
-    stated = patience.StatedTimes()
+    stated = caller_timeout.RemainingTimes()
     for each in stated_ms:
         stated.add(each)
     assert stated.spent_ms(left_ms, 84.0) == spent_ms
@@ -40,14 +40,14 @@
     ids=["first caller", "few", "callers have said so", "more than the guess"],
 )
 def test_a_guess_until_callers_have_said_what_they_have(stated_ms, left_ms, spent_ms):
-    stated = patience.StatedTimes()
+    stated = caller_timeout.RemainingTimes()
     for each in stated_ms:
         stated.add(each)
     assert stated.spent_ms(left_ms, 84.0, guess_ms=800.0) == spent_ms
 
 
 def test_the_latest_are_kept():
-    stated = patience.StatedTimes()
+    stated = caller_timeout.RemainingTimes()
     for number in range(1000):
         stated.add(number)
-    assert len(stated._latest) == len(stated._counts) == patience.KEPT
+    assert len(stated._latest) == len(stated._counts) == caller_timeout.KEPT
--- a/tests/policy/test_poison.py
+++ b/tests/policy/test_poison.py
@@ -22,9 +22,9 @@
     book = poison.Book()
     for kind, replica, at_s in events:
         if kind == "answer":
-            book.answered(Q, at_s)
+            book.record_answer(Q, at_s)
         else:
-            book.ended(Q, replica, at_s, on_trial=kind == "trial")
+            book.record_crash(Q, replica, at_s, on_trial=kind == "trial")
     return book
 
 
@@ -76,7 +76,7 @@
     book = book_of(*THREE)
     assert book.begin_trial(Q, 101.0)
     assert not book.begin_trial(Q, 102.0)
-    book.trial_not_run(Q, 102.0)
+    book.cancel_trial(Q, 102.0)
     assert book.begin_trial(Q, 102.1)
     assert book.begin_trial(Q, 102.1 + poison.TRIAL_S)
 
@@ -106,7 +106,7 @@
 def test_an_answer_here_contradicts_what_others_tell():
     """A popular query was answered here a moment ago; another instance takes it for the culprit."""
     book = poison.Book()
-    book.answered(Q, 100.0)
+    book.record_answer(Q, 100.0)
     told = book_of(*ends(101.0, 101.1, 101.2)).records[Q]
     book.learn(Q, told, 102.0)
     assert book.contradicts(Q, told, 102.0)
@@ -142,7 +142,7 @@
     """
     books = [book_of(*(("end", f"{name}{n}", 100.0) for n in range(12))) for name in "abc"]
     if answered:
-        books[0].answered(Q, 100.5)
+        books[0].record_answer(Q, 100.5)
     now_s, rounds = 101.0, 0
     news = True
     while news:
@@ -168,12 +168,12 @@
     """A caller makes up requests without end beside replicas that end; the culprit stays known."""
     book = book_of(*THREE, TRIAL)
     for number in range(3 * poison.RECORDS):
-        book.ended(b"%d" % number, "r", 102.0, on_trial=False)
-        book.answered(b"a%d" % number, 102.0)
+        book.record_crash(b"%d" % number, "r", 102.0, on_trial=False)
+        book.record_answer(b"a%d" % number, 102.0)
     assert len(book.records) == poison.RECORDS
     assert len(book._vouched) == poison.VOUCHED
     assert book.verdict(Q, 102.0) is QUARANTINED
-    assert book.forget(102.0 + poison.FORGOTTEN_S) == poison.RECORDS
+    assert book.expire(102.0 + poison.FORGOTTEN_S) == poison.RECORDS
 
 
 REQUESTS = strategies.sampled_from([b"a", b"b"])
@@ -196,20 +196,20 @@
 
     @stateful.rule(which=BOOKS)
     def an_answer(self, which):
-        self.books[which].answered(b"a", self.now_s)
+        self.books[which].record_answer(b"a", self.now_s)
         self.answered_s = self.now_s
 
     @stateful.rule(which=BOOKS, request=REQUESTS)
     def an_end(self, which, request):
         book = self.books[which]
         if book.verdict(request, self.now_s) is ALLOWED:
-            book.ended(request, f"r{next(self.replicas)}", self.now_s, on_trial=False)
+            book.record_crash(request, f"r{next(self.replicas)}", self.now_s, on_trial=False)
 
     @stateful.rule(which=BOOKS)
     def a_trial(self, which):
         book = self.books[which]
         if book.verdict(b"b", self.now_s) is SUSPECTED and book.begin_trial(b"b", self.now_s):
-            book.ended(b"b", f"r{next(self.replicas)}", self.now_s, on_trial=True)
+            book.record_crash(b"b", f"r{next(self.replicas)}", self.now_s, on_trial=True)
             assert book.verdict(b"b", self.now_s) is QUARANTINED
 
     @stateful.rule(which=BOOKS, other=BOOKS, late_s=strategies.floats(0.0, 0.4))
@@ -226,9 +226,9 @@
 
     @stateful.rule(which=BOOKS)
     def forgetting(self, which):
-        held = {request for request, _ in self.books[which].held(self.now_s)}
-        self.books[which].forget(self.now_s)
-        assert held == {request for request, _ in self.books[which].held(self.now_s)}
+        held = {request for request, _ in self.books[which].withheld(self.now_s)}
+        self.books[which].expire(self.now_s)
+        assert held == {request for request, _ in self.books[which].withheld(self.now_s)}
 
     @stateful.invariant()
     def what_was_answered_is_held_back_by_nobody_who_knows(self):
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -20,36 +20,37 @@
 
 def begun(start, count, now_s=0.0):
     """Begin queries until there is no room, or there are enough; returns how many."""
-    return next((n for n in range(count) if not start.begin(now_s)), count)
+    return next((n for n in range(count) if not start.try_acquire(now_s)), count)
 
 
 def waiting(name, turns, goal_at_s=10.0, deadline_s=20.0, priority=1):
-    return slow_start.Waiting(priority, goal_at_s, deadline_s, lambda: turns.append(name))
+    return slow_start.WaitingQuery(priority, goal_at_s, deadline_s, lambda: turns.append(name))
 
 
 @pytest.mark.parametrize(
     ("in_time", "at_once"),
     [
-        pytest.param(0, slow_start.FIRST, id="just started"),
-        pytest.param(1, slow_start.FIRST, id="an answer in time"),
-        pytest.param(slow_start.ANSWERS_FOR_ONE_MORE, slow_start.FIRST + 1, id="one more"),
-        pytest.param(8 * slow_start.ANSWERS_FOR_ONE_MORE, slow_start.FIRST + 8, id="later"),
+        pytest.param(0, slow_start.INITIAL_LIMIT, id="just started"),
+        pytest.param(1, slow_start.INITIAL_LIMIT, id="an answer in time"),
+        pytest.param(slow_start.ANSWERS_FOR_ONE_MORE, slow_start.INITIAL_LIMIT + 1, id="one more"),
+        pytest.param(8 * slow_start.ANSWERS_FOR_ONE_MORE, slow_start.INITIAL_LIMIT + 8, id="later"),
         pytest.param(100, 100, id="not limited any more"),
     ],
 )
 def test_how_many_at_a_time(in_time, at_once):
     start = slow_start.SlowStart(0.0)
     for _ in range(in_time):
-        assert start.begin(0.0)
-        start.end(0.0, 0.1, in_time=True)
+        assert start.try_acquire(0.0)
+        start.release(0.0, 0.1, in_time=True)
     assert begun(start, 100) == at_once
     for _ in range(at_once):
-        start.end(0.0, 0.1, in_time=False)
+        start.release(0.0, 0.1, in_time=False)
     assert begun(start, 100) == at_once
 
 
 @pytest.mark.parametrize(
-    ("age_s", "at_once"), [(0.0, slow_start.FIRST), (3.9, slow_start.FIRST), (4.1, 100)]
+    ("age_s", "at_once"),
+    [(0.0, slow_start.INITIAL_LIMIT), (3.9, slow_start.INITIAL_LIMIT), (4.1, 100)],
 )
 def test_an_instance_that_was_started_before_its_callers_came(age_s, at_once):
     start = slow_start.SlowStart(50.0)
@@ -75,14 +76,14 @@
         assert start.wait(query, 0.0)
     left = waiting("caller left", turns)
     assert start.wait(left, 0.0)
-    start.give_up(left)
+    start.cancel(left)
     for count in range(6):
-        start.end(0.1, 0.1, in_time=False)
+        start.release(0.1, 0.1, in_time=False)
         assert len(turns) == count + 1
-        assert not start.begin(0.1)
+        assert not start.try_acquire(0.1)
     assert turns == ["urgent", "first", "second", "urgent, late", "late", "late, patient"]
-    start.end(0.1, 0.1, in_time=False)
-    assert start.begin(0.1)
+    start.release(0.1, 0.1, in_time=False)
+    assert start.try_acquire(0.1)
 
 
 def test_what_would_wait_beyond_its_deadline_is_refused():
@@ -96,8 +97,8 @@
     taken = 0
     while start.wait(waiting("query", turns, goal_at_s=0.2, deadline_s=0.8), 0.0):
         taken += 1
-    most = slow_start.FIRST * (0.8 / slow_start.USUAL_GUESS_S - 1)
-    assert most - slow_start.FIRST <= taken <= most
+    most = slow_start.INITIAL_LIMIT * (0.8 / slow_start.INITIAL_DURATION_S - 1)
+    assert most - slow_start.INITIAL_LIMIT <= taken <= most
     assert start.wait(waiting("query", turns, goal_at_s=0.2, deadline_s=1.5), 0.0)
     assert start.wait(waiting("urgent", turns, goal_at_s=0.2, deadline_s=0.8, priority=0), 0.0)
 
@@ -131,17 +132,17 @@
             in_time = now_s - began_s <= GOAL_S
             found["in time"] += in_time
             found["answered"] += now_s - began_s <= DEADLINE_S
-            instance.end(now_s, now_s - turn_s, in_time)
+            instance.release(now_s, now_s - turn_s, in_time)
             continue
         instance = rng.choice(instances)
-        if instance.begin(now_s):
+        if instance.try_acquire(now_s):
             serve(now_s, number, what, instance)
             continue
 
         def on_turn(number=number, began_s=what, instance=instance):
             serve(present["s"], number, began_s, instance)
 
-        instance.wait(slow_start.Waiting(1, what + GOAL_S, what + DEADLINE_S, on_turn), now_s)
+        instance.wait(slow_start.WaitingQuery(1, what + GOAL_S, what + DEADLINE_S, on_turn), now_s)
     return {key: count / len(sent_s) for key, count in found.items()}
 
 
