--- a/src/turmericlug/owner/suspects.py
+++ b/src/turmericlug/owner/suspects.py
@@ -1,8 +1,8 @@
 """
-Requests under which targets have ended, as an owner knows them.
+Requests that crash targets, as observed by an owner.
 
-An owner sees all sends to its services, but a query goes to services of many owners: each tells the
-others what it has seen, so that the ends of all of them add up.
+An owner handles all sends to its services, but a query goes to services of many owners. Each
+reports the crashes that it observes to the others, so that they are counted together.
 """
 
 from __future__ import annotations
@@ -19,39 +19,39 @@
 from turmericlug.wire import suspects_codec
 
 WITHHELD = "ends_targets"
-"""Reason of a part that is not sent, since targets ended under it."""
-CONFIRM_S = 0.15
-"""Longest wait for a target to refuse a connection: a journey to the farthest region and back."""
+"""Reason of a part that is not sent because its request crashes targets."""
+PROBE_TIMEOUT_S = 0.15
+"""Longest wait for a target to refuse a connection: a round trip to the farthest region."""
 
 
 class Suspects:
-    """The book of one instance, for all its services."""
+    """The suspect table of one instance, for all its services."""
 
     def __init__(
         self,
         counters: counters_module.Counters,
-        tell: abc.Callable[[bytes], None],
-        tells_on: abc.Callable[[], bool],
+        broadcast: abc.Callable[[bytes], None],
+        must_forward: abc.Callable[[], bool],
     ) -> None:
         """
-        Begin with an empty book.
+        Start with an empty table.
 
-        :param tell: sends a message to other instances
-        :param tells_on: whether instances are so many that what is learned is told on
+        :param broadcast: sends a message to other instances
+        :param must_forward: whether there are so many instances that reports must be forwarded
         """
-        self.table = poison.Book()
+        self.table = poison.SuspectTable()
         self._counters = counters
-        self._tell = tell
-        self._tells_on = tells_on
-        self._told: set[poison.Fingerprint] = set()
-        """Requests that others were told of from here."""
+        self._broadcast = broadcast
+        self._must_forward = must_forward
+        self._published: set[poison.Fingerprint] = set()
+        """Requests that this instance has reported."""
 
     def verdict(self, request: poison.Fingerprint) -> poison.Verdict:
-        """Return what may be done with a request now."""
+        """Return the current verdict on a request."""
         return self.table.verdict(request, time.monotonic())
 
     def is_withheld(self, part: part_module.Part) -> bool:
-        """Whether a part may go to no further target now; a trial looks for one that runs it."""
+        """Whether a part may go to no further target; a trial may until a target has run it."""
         verdict = self.verdict(part.fingerprint)
         if verdict is poison.Verdict.SUSPECTED:
             return part.may_have_run or not part.on_trial
@@ -59,9 +59,10 @@
 
     def check_start(self, part: part_module.Part) -> str:
         """
-        Return how a part ends that may not start; empty where it may.
+        Return the outcome of a part that may not start; empty if it may.
 
-        A suspected one may start as a trial, at one target, while no other one is on trial.
+        A part of a suspected request may start as a trial, at one target, if no other trial is in
+        progress.
         """
         verdict = self.verdict(part.fingerprint)
         if verdict is poison.Verdict.QUARANTINED:
@@ -80,87 +81,90 @@
         client: target_module.Client,
     ) -> None:
         """
-        Learn from the end of an attempt.
+        Record the outcome of an attempt.
 
-        Awaited before the part goes to another target: it ended that one as well before the end of
-        the first was known.
+        Awaited before the part is sent to another target: otherwise it crashed that one as well
+        before the first crash was known.
         """
         if isinstance(outcome, target_module.Answered):
             self.record_answer(part.fingerprint)
         elif outcome == target_module.CONNECTION_LOST:
-            if await client.refuses(replica.address, CONFIRM_S):
+            if await client.refuses(replica.address, PROBE_TIMEOUT_S):
                 start = f"{replica.instance}@{replica.generation}"
                 self.record_crash(part.fingerprint, start, part.on_trial)
         elif part.on_trial and isinstance(outcome, target_module.NotRun):
             self.table.cancel_trial(part.fingerprint, time.monotonic())
 
     def record_answer(self, request: poison.Fingerprint) -> None:
-        """Take note that a target has answered a request."""
+        """Record that a target has answered a request."""
         if self.table.record_answer(request, time.monotonic()):
             self._counters.add("poison.cleared")
-            self._tell_of(request)
+            self._publish(request)
 
     def record_crash(self, request: poison.Fingerprint, target: str, on_trial: bool) -> None:
-        """Take note that a target ended under a request."""
+        """Record that a target crashed while it had a request."""
         before = self.verdict(request)
         self.table.record_crash(request, target, time.monotonic(), on_trial)
         self._counters.add("poison.ended")
-        self._changed(request, before)
-        self._tell_of(request)
+        self._report_verdict(request, before)
+        self._publish(request)
 
     def begin_trial(self, request: poison.Fingerprint) -> bool:
-        """Begin the trial of a suspected request; false while another one is under way."""
+        """Begin the trial of a suspected request; false while another one is in progress."""
         if not self.table.begin_trial(request, time.monotonic()):
             return False
         self._counters.add("poison.trial")
-        self._tell_of(request)
+        self._publish(request)
         return True
 
     def merge_message(self, content: bytes) -> bytes | None:
         """
-        Take over what another instance tells.
+        Merge a report of another instance.
 
-        :returns: what is to be told to that one alone: answers that it does not know
+        :returns: the message to send back to that instance alone, with answers that it does not
+            know; none if there are none
         """
         now_s = time.monotonic()
         try:
-            told = suspects_codec.decode(content, now_s)
+            report = suspects_codec.decode(content, now_s)
         except suspects_codec.MessageError as error:
             events.emit("poison.unreadable", "warning", reason=str(error))
             return None
-        for request, record in told.records.items():
-            self._learn(request, record, now_s)
-        contradicted = self.table.contradicted(told.records, now_s)
-        if not contradicted:
+        for request, record in report.records.items():
+            self._merge_record(request, record, now_s)
+        corrections = self.table.corrections(report.records, now_s)
+        if not corrections:
             return None
-        return suspects_codec.encode(suspects_codec.Suspects(contradicted), now_s)
+        return suspects_codec.encode(suspects_codec.Suspects(corrections), now_s)
 
-    def _learn(self, request: poison.Fingerprint, record: poison.Record, now_s: float) -> None:
-        """Take over one record, and tell it on where that is due."""
+    def _merge_record(
+        self, request: poison.Fingerprint, record: poison.Record, now_s: float
+    ) -> None:
+        """Merge one record, and forward a change where that is required."""
         before = self.verdict(request)
-        if not self.table.learn(request, record, now_s):
+        if not self.table.merge_report(request, record, now_s):
             return
         self._counters.add("poison.learned")
-        self._changed(request, before)
-        if request in self._told or self._tells_on():
-            self._tell_of(request)
+        self._report_verdict(request, before)
+        if request in self._published or self._must_forward():
+            self._publish(request)
 
     def expire(self) -> None:
-        """Drop what no longer matters."""
-        forgotten = self.table.expire(time.monotonic())
-        self._told &= self.table.records.keys()
-        self._counters.add("poison.forgotten", forgotten)
+        """Drop expired records."""
+        expired = self.table.expire(time.monotonic())
+        self._published &= self.table.records.keys()
+        self._counters.add("poison.forgotten", expired)
 
-    def _changed(self, request: poison.Fingerprint, before: poison.Verdict) -> None:
+    def _report_verdict(self, request: poison.Fingerprint, before: poison.Verdict) -> None:
         verdict = self.verdict(request)
         if verdict is not before:
             self._counters.add(f"poison.verdict.{verdict.value}")
-            ends = sorted(self.table.records[request].ends)
+            ends = sorted(self.table.records[request].crashes)
             events.emit(f"poison.{verdict.value}", "warning", content=request.hex(), ends=ends)
 
-    def _tell_of(self, request: poison.Fingerprint) -> None:
+    def _publish(self, request: poison.Fingerprint) -> None:
         record = self.table.records.get(request)
         if record is not None:
-            self._told.add(request)
+            self._published.add(request)
             suspects = suspects_codec.Suspects({request: record})
-            self._tell(suspects_codec.encode(suspects, time.monotonic()))
+            self._broadcast(suspects_codec.encode(suspects, time.monotonic()))
--- a/src/turmericlug/policy/__init__.py
+++ b/src/turmericlug/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load: pure, without sockets, clocks or an event loop."""
+"""Overload and failure policies: pure logic without sockets, clocks or an event loop."""
--- a/src/turmericlug/policy/caller_timeout.py
+++ b/src/turmericlug/policy/caller_timeout.py
@@ -1,13 +1,14 @@
 """
-How much of a caller's time was gone before its request was sent.
+Estimate of the time that a caller had spent before it sent its request.
 
-The load pattern: a caller asks for addresses anew every few seconds and opens a connection where it
-has none, and its goal runs meanwhile. Answered just before a goal that counts from the request's
-arrival, urgent queries are late for their callers, while the instance takes them to be in time.
+The load pattern: a caller refreshes its addresses every few seconds and opens a connection where it
+has none, while its latency goal is already running. If an urgent query is answered just within a
+goal that is counted from the request's arrival, it is late for the caller, although the instance
+counts it as in time.
 
-Callers state the time that they have left. Most of them send at once and state all of it, so that
-the most that many state on a route is what its callers have in the beginning, and what one states
-less is gone.
+Each request states the caller's remaining time. Most callers send at once and state their whole
+timeout. The largest value that many requests of a route state is therefore taken as the initial
+timeout of its callers, and the difference to a smaller value as time already spent.
 """
 
 from __future__ import annotations
@@ -17,46 +18,51 @@
 
 import attrs
 
-KEPT = 64
-"""Stated times that are looked at: some seconds of a route's requests at one instance."""
-FULL_SHARE = 1 / 8
-"""Part of the latest stated times that must be equal for them to be the time that callers of the
-route have in the beginning. Where each caller has a time of its own no value comes so often, and
-nothing is taken to be gone."""
-FULL_LEAST = 3
-"""Equal times without which nothing is said: one caller's own time is no rule."""
+MAX_SAMPLES = 64
+"""Remaining times that are evaluated: a few seconds of the requests for one route at one
+instance."""
+MIN_COUNT_SHARE = 1 / 8
+"""Share of the samples that must be equal to be taken as the initial timeout of the route's
+callers. If each caller has its own timeout, no value is that frequent, and no time counts as
+spent."""
+MIN_COUNT = 3
+"""Least number of equal samples that give an estimate: a single caller's timeout says nothing about
+the others."""
 
 
 @attrs.define
 class RemainingTimes:
-    """The latest times left that callers of one route have stated, in whole milliseconds."""
+    """The latest remaining times stated by callers of one route, in whole milliseconds."""
 
     _latest: collections.deque[int] = attrs.field(factory=collections.deque)
     _counts: collections.Counter[int] = attrs.field(factory=collections.Counter)
 
-    def add(self, left_ms: float) -> None:
-        """Take note of a stated time."""
-        if not math.isfinite(left_ms):
+    def add(self, remaining_ms: float) -> None:
+        """Add a sample."""
+        if not math.isfinite(remaining_ms):
             return
-        self._latest.append(round(left_ms))
-        self._counts[round(left_ms)] += 1
-        if len(self._latest) > KEPT:
+        self._latest.append(round(remaining_ms))
+        self._counts[round(remaining_ms)] += 1
+        if len(self._latest) > MAX_SAMPLES:
             oldest = self._latest.popleft()
             self._counts[oldest] -= 1
             if not self._counts[oldest]:
                 del self._counts[oldest]
 
-    def spent_ms(self, left_ms: float, most_ms: float, guess_ms: float = 0.0) -> float:
+    def spent_ms(self, remaining_ms: float, max_ms: float, default_ms: float = 0.0) -> float:
         """
-        Return how much of its time a caller that states some left has had already.
+        Return the time that a caller has spent before it sent a request.
 
-        :param guess_ms: what callers probably have in the beginning, until enough have said so
-        :param most_ms: what may have gone before the first attempt; a caller that has had more was
-            refused or failed before, and what it wants now is an answer soon from now on
+        :param remaining_ms: the remaining time that the request states
+        :param max_ms: the most that a caller can have spent before its first attempt; one that has
+            spent more was refused or failed before, and should simply be answered as soon as
+            possible from now on
+        :param default_ms: the assumed initial timeout until there are enough equal samples
         """
-        least = max(FULL_LEAST, FULL_SHARE * len(self._latest))
-        full_ms = max(
-            (each for each, count in self._counts.items() if count >= least), default=guess_ms
+        min_count = max(MIN_COUNT, MIN_COUNT_SHARE * len(self._latest))
+        initial_ms = max(
+            (each for each, count in self._counts.items() if count >= min_count),
+            default=default_ms,
         )
-        spent_ms = full_ms - left_ms
-        return spent_ms if 0 < spent_ms <= most_ms else 0.0
+        spent_ms = initial_ms - remaining_ms
+        return spent_ms if 0 < spent_ms <= max_ms else 0.0
--- a/src/turmericlug/policy/fingerprint.py
+++ b/src/turmericlug/policy/fingerprint.py
@@ -1,4 +1,4 @@
-"""Recognising a request that comes again by what it asks for."""
+"""Fingerprints that identify repeated requests by their content."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from collections import abc
 
 LENGTH_BYTES = 16
-"""So long that no two requests of a deployment share one, also where a caller tries for it."""
+"""Long enough that no two requests of a deployment collide, even if a caller tries to make them."""
 
 
 def of(parts: abc.Iterable[bytes]) -> bytes:
-    """Return the same bytes for the same parts; they tell nothing else of the parts."""
+    """Return a digest that is equal for equal parts and reveals nothing else about them."""
     digest = hashlib.blake2b(digest_size=LENGTH_BYTES)
     for part in parts:
-        # Its length first: what ends one part can't be taken for the begin of the next.
+        # The length prefix keeps different splits of the same bytes apart.
         digest.update(len(part).to_bytes(8, "big"))
         digest.update(part)
     return digest.digest()
--- a/src/turmericlug/policy/gossip.py
+++ b/src/turmericlug/policy/gossip.py
@@ -1,8 +1,9 @@
 """
-Whom an instance tells at once what all should know.
+Choice of the instances that receive an urgent update at once.
 
-The load pattern: something urgent is seen at one of thousands of instances. Told to all by one it
-costs that one thousands of messages; told to a few by each, all know after some journeys.
+The load pattern: one of thousands of instances observes something urgent. If it alone sent it to
+all others, it would have to send thousands of messages. If each instance forwards it to a few
+others, it reaches all of them within a few hops.
 """
 
 from __future__ import annotations
@@ -11,19 +12,20 @@
 import typing
 from collections import abc
 
-FEW = 12
-"""So many are all told directly."""
-FAN_OUT = 6
-"""Instances that each one tells where there are more: after four steps 999 in 1,000 know of it."""
+MAX_DIRECT = 12
+"""Largest number of peers that are all sent the update directly."""
+FANOUT = 6
+"""Peers to which each instance sends an update if there are more: after four hops it has reached
+999 in 1,000 instances."""
 
 _Peer = typing.TypeVar("_Peer")
 
 
 def recipients(peers: abc.Sequence[_Peer], rng: random.Random) -> abc.Sequence[_Peer]:
-    """Return the instances to tell."""
-    return rng.sample(peers, FAN_OUT) if must_forward(len(peers)) else peers
+    """Return the peers that are sent an update."""
+    return rng.sample(peers, FANOUT) if must_forward(len(peers)) else peers
 
 
 def must_forward(peers: int) -> bool:
-    """Whether those that are told tell others in turn."""
-    return peers > FEW
+    """Whether recipients must forward an update, given the number of peers."""
+    return peers > MAX_DIRECT
--- a/src/turmericlug/policy/poison.py
+++ b/src/turmericlug/policy/poison.py
@@ -1,18 +1,20 @@
 """
-Which requests end the replicas that run them (poison requests, queries of death).
-
-The load pattern: one request ends any replica that begins to run it. It goes to all shards, each
-broken send is repeated at the next replica, and whoever sent it comes back with it at any instance,
-so that one caller empties a service again and again. The same moment looks alike for the requests
-that were beside it in the replicas, and for popular ones when replicas end for other reasons.
-
-So ends are counted by request, over all instances. After three a request is *suspected*: it goes to
-one replica at a time, as a trial. An answer clears it; one more end and it is *quarantined*, which
-means that no replica gets it. What has been answered of late is never suspected, since a request
-that ends replicas is not answered by any.
-
-Everything here is told to the other instances as ages, and merged: the order of what arrives does
-not matter, and what is told twice changes nothing.
+Detection of requests that crash the replicas that run them (poison requests, queries of death).
+
+The load pattern: one request crashes every replica that starts to run it. It is sent to all shards,
+each broken attempt is retried at the next replica, and its caller repeats it at any instance, so
+that a single caller takes down a service again and again. From one crash alone it can't be told
+apart from the requests that the replica had in flight beside it, nor from popular ones if replicas
+crash for other reasons.
+
+Crashes are therefore counted for each request over all instances. A crash is any unplanned end of a
+replica, including the loss of its machine. After three crashes a request is *suspected*: it is sent
+to one replica at a time, as a trial. An answer clears it; a crash during the trial makes it
+*quarantined*, and it is sent to no replica. A request that was answered recently is never
+suspected, since no replica answers one that crashes replicas.
+
+All of this is reported to the other instances as ages and merged there. The result does not depend
+on the order of the reports, and a repeated report changes nothing.
 """
 
 from __future__ import annotations
@@ -25,33 +27,34 @@
 import attrs
 
 CRASHES_TO_SUSPECT = 3
-"""Replicas that ended under a request. One or two are coincidence where replicas end each day."""
-ENDS_KEPT = 8
-"""Replicas of one request that are named in logs and told to others."""
-MEMORY_S = 60.0
-"""Time for which an answer vouches for a request."""
-FORGOTTEN_S = 600.0
-"""Age at which ends no longer count: replicas may run other software by then."""
+"""Replicas that crashed while they had the request. One or two are coincidence where replicas crash
+every day."""
+MAX_CRASHES = 8
+"""Crashed replicas of one request that are kept, for logs and reports."""
+ANSWER_TTL_S = 60.0
+"""Time for which an answer keeps a request from being suspected."""
+CRASH_TTL_S = 600.0
+"""Age from which a crash does not count: replicas may run other software by then."""
 QUARANTINE_S = 300.0
-"""Time until a quarantined request is tried again, twice as long after each further trial that
-ended a replica: it may have been mended, and costs a replica each time if not."""
-LONGEST_QUARANTINE_S = 3600.0
-TRIAL_S = 3.0
-"""Time for which one trial keeps out others. A replica that ended silently loses its entry within
-three missed heartbeats, which settles the trial."""
-RECORDS = 512
-"""Requests under suspicion: those beside each other in the replicas of a rack that is lost."""
-VOUCHED = 1024
-"""Answered requests that are remembered: some 40 s of an instance that serves 25 a second."""
-
-SAME_WITHIN_S = 0.5
-"""Longer than any journey of what instances tell each other."""
+"""Time until a quarantined request is tried again, doubled after each further trial that crashed a
+replica: the fault may have been fixed, and each trial costs a replica if it has not."""
+MAX_QUARANTINE_S = 3600.0
+TRIAL_TIMEOUT_S = 3.0
+"""Time for which one trial blocks others. A replica that crashed silently loses its entry within
+three missed heartbeats, which decides the trial."""
+MAX_RECORDS = 512
+"""Requests with crashes: those in flight together in the replicas of a rack that is lost."""
+MAX_ANSWERED = 1024
+"""Answered requests that are kept: about 40 s of an instance that serves 25 a second."""
+
+TIME_TOLERANCE_S = 0.5
+"""Longer than any transmission delay of a report between instances."""
 
 Fingerprint = bytes
 
 
 class Verdict(enum.Enum):
-    """What may be done with a request."""
+    """Whether and how a request may be sent."""
 
     ALLOWED = "allowed"
     SUSPECTED = "suspected"
@@ -60,55 +63,58 @@
 
 @attrs.define
 class Record:
-    """What is known of one request, in times of this instance's clock."""
+    """The evidence about one request; times are those of this instance's clock."""
 
-    ends: dict[str, float] = attrs.field(factory=dict)
-    """When each replica ended under it."""
+    crashes: dict[str, float] = attrs.field(factory=dict)
+    """Time at which each replica crashed while it had the request."""
     answered_s: float = -math.inf
-    """When a replica last answered it."""
+    """Time of the last answer by a replica."""
     quarantined_s: float = -math.inf
-    """When it last ended a replica on trial."""
+    """Time of the last crash during a trial."""
     quarantines: int = 0
+    """Number of trials that crashed a replica."""
     trial_until_s: float = -math.inf
-    """Until when a trial keeps out others."""
+    """Time until which a trial blocks others."""
 
     def verdict(self, now_s: float) -> Verdict:
-        """Return what may be done with the request."""
+        """Return the verdict on the request."""
         tried_s = self.quarantined_s if self._counts(self.quarantined_s) else -math.inf
-        held_s = quarantine_s(self.quarantines)
-        if now_s < tried_s + held_s:
+        length_s = quarantine_duration_s(self.quarantines)
+        if now_s < tried_s + length_s:
             return Verdict.QUARANTINED
-        if now_s < tried_s + 2 * held_s or len(self.recent_crashes(now_s)) >= CRASHES_TO_SUSPECT:
+        if now_s < tried_s + 2 * length_s or len(self.recent_crashes(now_s)) >= CRASHES_TO_SUSPECT:
             return Verdict.SUSPECTED
         return Verdict.ALLOWED
 
     def _counts(self, at_s: float) -> bool:
-        """Whether an end at a time speaks against the request: nothing vouched for it then."""
-        return at_s > self.answered_s + MEMORY_S
+        """Whether a crash at this time counts as evidence; a later or recent answer refutes it."""
+        return at_s > self.answered_s + ANSWER_TTL_S
 
     def recent_crashes(self, now_s: float) -> dict[str, float]:
-        """Return the ends that speak against the request and are not too long ago."""
+        """Return the crashes that count as evidence and have not expired."""
         return {
             replica: at_s
-            for replica, at_s in self.ends.items()
-            if self._counts(at_s) and at_s > now_s - FORGOTTEN_S
+            for replica, at_s in self.crashes.items()
+            if self._counts(at_s) and at_s > now_s - CRASH_TTL_S
         }
 
     def merge(self, other: Record) -> None:
-        """Take over whatever another instance knows beyond this one."""
-        self.answered_s = _later(self.answered_s, other.answered_s)
-        for replica, at_s in other.ends.items():
-            self.ends.setdefault(replica, at_s)
-        # By name, not by time: of times that differ by a journey each instance kept others, and
-        # told them again for ever.
-        kept = sorted(each for each, at_s in self.ends.items() if self._counts(at_s))[:ENDS_KEPT]
-        self.ends = {replica: self.ends[replica] for replica in kept}
+        """Add the evidence of another instance."""
+        self.answered_s = _merge_time_s(self.answered_s, other.answered_s)
+        for replica, at_s in other.crashes.items():
+            self.crashes.setdefault(replica, at_s)
+        # Sorted by name, not by time: times differ between instances by the transmission delay, so
+        # that each kept other crashes and they sent them to each other for ever.
+        kept = sorted(each for each, at_s in self.crashes.items() if self._counts(at_s))[
+            :MAX_CRASHES
+        ]
+        self.crashes = {replica: self.crashes[replica] for replica in kept}
         if other.quarantines > self.quarantines:
             self.quarantines, self.quarantined_s = other.quarantines, other.quarantined_s
-        self.trial_until_s = _later(self.trial_until_s, other.trial_until_s)
+        self.trial_until_s = _merge_time_s(self.trial_until_s, other.trial_until_s)
 
     def summary(self, now_s: float) -> tuple[object, ...]:
-        """Return what is worth telling on; times of what is known already are not."""
+        """Return the facts that are reported when they change; times are not among them."""
         on_trial = now_s < self.trial_until_s
         return (
             self.verdict(now_s),
@@ -118,65 +124,65 @@
         )
 
     def expire(self, now_s: float) -> None:
-        """Drop ends that are too long ago, which would keep out others."""
-        self.ends = self.recent_crashes(now_s)
+        """Drop expired crashes, which would take the place of new ones."""
+        self.crashes = self.recent_crashes(now_s)
 
-    def is_over(self, now_s: float) -> bool:
-        """Whether nothing of it matters any more."""
+    def is_expired(self, now_s: float) -> bool:
+        """Whether the record has no effect any more."""
         if self.verdict(now_s) is not Verdict.ALLOWED or self.recent_crashes(now_s):
             return False
-        return now_s > max(self.answered_s + MEMORY_S, self.trial_until_s)
+        return now_s > max(self.answered_s + ANSWER_TTL_S, self.trial_until_s)
 
 
-def _later(known_s: float, told_s: float) -> float:
+def _merge_time_s(known_s: float, reported_s: float) -> float:
     """
-    Return the later of two times, the known one where they are nearly the same.
+    Return the later of two times, or the known one if they are nearly equal.
 
-    A time is told as an age and arrives a journey later. Told to and fro it would move on each
-    time, and nothing would ever be forgotten.
+    A time is sent as an age and arrives after a transmission delay. Sent back and forth, it would
+    advance each time, and no record would ever expire.
     """
-    return told_s if told_s > known_s + SAME_WITHIN_S else known_s
+    return reported_s if reported_s > known_s + TIME_TOLERANCE_S else known_s
 
 
-def quarantine_s(quarantines: int) -> float:
-    """Return how long the latest of some quarantines lasts."""
+def quarantine_duration_s(quarantines: int) -> float:
+    """Return the duration of the latest quarantine, given the number of quarantines."""
     if not quarantines:
         return 0.0
-    return min(QUARANTINE_S * 2.0 ** (quarantines - 1), LONGEST_QUARANTINE_S)
+    return min(QUARANTINE_S * 2.0 ** (quarantines - 1), MAX_QUARANTINE_S)
 
 
-class Book:
-    """What one instance knows of requests under suspicion, bounded."""
+class SuspectTable:
+    """The records of one instance about requests with crashes, bounded in size."""
 
     def __init__(self) -> None:
         self.records: collections.OrderedDict[Fingerprint, Record] = collections.OrderedDict()
-        self._vouched: collections.OrderedDict[Fingerprint, float] = collections.OrderedDict()
-        """When requests were last answered, for those without a record too."""
+        self._answered_s: collections.OrderedDict[Fingerprint, float] = collections.OrderedDict()
+        """Time of the last answer to each request, also to those without a record."""
 
     def verdict(self, request: Fingerprint, now_s: float) -> Verdict:
-        """Return what may be done with a request."""
+        """Return the verdict on a request."""
         record = self.records.get(request)
         return Verdict.ALLOWED if record is None else record.verdict(now_s)
 
-    def vouched(self, request: Fingerprint, now_s: float) -> bool:
-        """Whether the request was answered lately."""
+    def answered_recently(self, request: Fingerprint, now_s: float) -> bool:
+        """Whether the request was answered within the TTL of answers."""
         record = self.records.get(request)
         answered_s = max(
-            self._vouched.get(request, -math.inf),
+            self._answered_s.get(request, -math.inf),
             record.answered_s if record is not None else -math.inf,
         )
-        return answered_s >= now_s - MEMORY_S
+        return answered_s >= now_s - ANSWER_TTL_S
 
     def record_answer(self, request: Fingerprint, now_s: float) -> bool:
         """
-        Take note that a replica answered a request.
+        Record an answer of a replica to a request.
 
-        :returns: whether that cleared it of a suspicion
+        :returns: whether this cleared a suspected or quarantined request
         """
-        self._vouched[request] = now_s
-        self._vouched.move_to_end(request)
-        if len(self._vouched) > VOUCHED:
-            self._vouched.popitem(last=False)
+        self._answered_s[request] = now_s
+        self._answered_s.move_to_end(request)
+        if len(self._answered_s) > MAX_ANSWERED:
+            self._answered_s.popitem(last=False)
         record = self.records.get(request)
         if record is None:
             return False
@@ -188,12 +194,12 @@
         self, request: Fingerprint, replica: str, now_s: float, on_trial: bool
     ) -> Verdict:
         """
-        Take note that a replica ended under a request.
+        Record the crash of a replica that had a request.
 
-        :param on_trial: whether the request was sent to it as a trial
-        :returns: what may be done with the request now
+        :param on_trial: whether the request was sent to the replica as a trial
+        :returns: the new verdict on the request
         """
-        if self.vouched(request, now_s):
+        if self.answered_recently(request, now_s):
             return Verdict.ALLOWED
         record = self._record(request, now_s)
         record.expire(now_s)
@@ -204,68 +210,68 @@
         return record.verdict(now_s)
 
     def begin_trial(self, request: Fingerprint, now_s: float) -> bool:
-        """Begin a trial of a suspected request; false while another one is under way."""
+        """Begin a trial of a suspected request; false while another one is in progress."""
         record = self.records[request]
         if now_s < record.trial_until_s:
             return False
-        record.trial_until_s = now_s + TRIAL_S
+        record.trial_until_s = now_s + TRIAL_TIMEOUT_S
         return True
 
     def cancel_trial(self, request: Fingerprint, now_s: float) -> None:
-        """Take note that no replica ran the trial: another one may begin."""
+        """End a trial that no replica has run, so that another one may begin."""
         record = self.records.get(request)
         if record is not None:
             record.trial_until_s = min(record.trial_until_s, now_s)
 
     def lift(self, request: Fingerprint, now_s: float) -> bool:
-        """Allow a request as if it had been answered; false when nothing is held against it."""
+        """Allow a request as if it had been answered; false if it is allowed already."""
         if self.verdict(request, now_s) is Verdict.ALLOWED:
             return False
         self.records[request].answered_s = now_s
         return True
 
-    def learn(self, request: Fingerprint, told: Record, now_s: float) -> bool:
+    def merge_report(self, request: Fingerprint, reported: Record, now_s: float) -> bool:
         """
-        Take over what another instance has told.
+        Merge the record of another instance.
 
-        :returns: whether it was news
+        :returns: whether it changed what must be reported
         """
-        if told.is_over(now_s) and request not in self.records:
+        if reported.is_expired(now_s) and request not in self.records:
             return False
         record = self._record(request, now_s)
-        record.answered_s = max(record.answered_s, self._vouched.get(request, -math.inf))
+        record.answered_s = max(record.answered_s, self._answered_s.get(request, -math.inf))
         record.expire(now_s)
         before = record.summary(now_s)
-        record.merge(attrs.evolve(told, ends=told.recent_crashes(now_s)))
+        record.merge(attrs.evolve(reported, crashes=reported.recent_crashes(now_s)))
         return record.summary(now_s) != before
 
-    def contradicts(self, request: Fingerprint, told: Record, now_s: float) -> bool:
-        """Whether an answer is known here that whoever told of a request does not know."""
-        if not (told.recent_crashes(now_s) or told.verdict(now_s) is not Verdict.ALLOWED):
+    def has_newer_answer(self, request: Fingerprint, reported: Record, now_s: float) -> bool:
+        """Whether this instance knows an answer that refutes another instance's report."""
+        if not (reported.recent_crashes(now_s) or reported.verdict(now_s) is not Verdict.ALLOWED):
             return False
-        return self.records[request].answered_s > told.answered_s + SAME_WITHIN_S
+        return self.records[request].answered_s > reported.answered_s + TIME_TOLERANCE_S
 
-    def contradicted(
+    def corrections(
         self, records: dict[Fingerprint, Record], now_s: float
     ) -> dict[Fingerprint, Record]:
         """
-        Return what is known here of requests that another instance suspects and that were answered.
+        Return this instance's records of reported requests to which it knows a newer answer.
 
-        For that one alone, which then tells the others: a popular request was answered at all
-        instances, and each of them would tell all others.
+        They are sent to the reporter alone, which then informs the others: a popular request was
+        answered at all instances, and each of them would inform all others.
         """
         return {
             request: self.records[request]
-            for request, told in records.items()
-            if request in self.records and self.contradicts(request, told, now_s)
+            for request, reported in records.items()
+            if request in self.records and self.has_newer_answer(request, reported, now_s)
         }
 
     def expire(self, now_s: float) -> int:
-        """Drop what no longer matters; returns how many requests that were."""
-        over = [each for each, record in self.records.items() if record.is_over(now_s)]
-        for request in over:
+        """Drop records without effect; returns how many there were."""
+        expired = [each for each, record in self.records.items() if record.is_expired(now_s)]
+        for request in expired:
             del self.records[request]
-        return len(over)
+        return len(expired)
 
     def withheld(self, now_s: float) -> abc.Iterator[tuple[Fingerprint, Record]]:
         """Return the requests that are suspected or quarantined."""
@@ -275,13 +281,13 @@
 
     def _record(self, request: Fingerprint, now_s: float) -> Record:
         if request not in self.records:
-            if len(self.records) >= RECORDS:
-                self._make_room(now_s)
+            if len(self.records) >= MAX_RECORDS:
+                self._evict(now_s)
             self.records[request] = Record()
         return self.records[request]
 
-    def _make_room(self, now_s: float) -> None:
-        """Drop the oldest record, of those held against a request only where there is no other."""
-        held = {request for request, _ in self.withheld(now_s)}
-        oldest = next((each for each in self.records if each not in held), None)
+    def _evict(self, now_s: float) -> None:
+        """Drop the oldest record, one of a withheld request only if there is no other."""
+        withheld = {request for request, _ in self.withheld(now_s)}
+        oldest = next((each for each in self.records if each not in withheld), None)
         self.records.pop(oldest if oldest is not None else next(iter(self.records)))
--- a/src/turmericlug/policy/warm_up.py
+++ b/src/turmericlug/policy/warm_up.py
@@ -1,9 +1,9 @@
 """
-How much one instance may send to a replica that is cold: pure functions of rate, share and time.
+Send rate of one instance to a cold replica: pure functions of rate, share and time.
 
-The load pattern: the replicas of a data centre come back together, cold, and every instance sends
-to each of them at once. No instance counts for all, so that each has time slots of its own. A slot
-that is not used is lost: kept as tokens, those of many instances would be spent together.
+The load pattern: the replicas of a data centre restart together, cold, and every instance sends to
+each of them at once. No instance counts the requests of all, so each has time slots of its own. An
+unused slot is lost: if instances saved them as tokens, they would spend them all at the same time.
 """
 
 from __future__ import annotations
@@ -13,47 +13,48 @@
 
 import attrs
 
-NOMINAL_SHARE = 0.6
-"""Part of the stated rate that is used: slots of different instances overlap by chance."""
-LONGEST_SLOT_S = 0.25
-SLOT_SHARE = 0.5
-"""Longest slot as a part of the time between two slots of an instance."""
-_HASHES = 1 << 32
+RATE_UTILISATION = 0.6
+"""Fraction of the stated rate that is used, since slots of different instances overlap by
+chance."""
+MAX_SLOT_S = 0.25
+MAX_SLOT_SHARE = 0.5
+"""Longest slot as a fraction of an instance's slot period."""
+_HASH_RANGE = 1 << 32
 
 
 @attrs.frozen
 class Share:
-    """One instance's part of the requests that a cold replica bears."""
+    """One instance's share of the requests that a cold replica can take."""
 
     rate_per_s: float
-    """Of all instances together; 0: not limited."""
+    """Of all instances together; 0: unlimited."""
     senders: int = 1
-    """How many instances divide it; 0: this one is not among them."""
+    """Number of instances that share the rate; 0: this one is not among them."""
     phase: float = 0.0
-    """Where its first slot begins, as a part of the time between two of them."""
+    """Start of the instance's first slot as a fraction of the slot period."""
 
     def allows(self, since_s: float, sent_s: float, now_s: float) -> bool:
         """
         Whether one more request may be sent now.
 
-        :param since_s: when the replica turned cold, as this instance learned it
-        :param sent_s: when this instance last sent to it since then
+        :param since_s: when this instance learned that the replica is cold
+        :param sent_s: when this instance last sent to the replica since then
         """
         if not self.rate_per_s:
             return True
         if not self.senders:
             return False
-        period_s = self.senders / (NOMINAL_SHARE * self.rate_per_s)
+        period_s = self.senders / (RATE_UTILISATION * self.rate_per_s)
         begin_s = since_s + self.phase * period_s
-        turn = math.floor((now_s - begin_s) / period_s)
-        slot_s = begin_s + turn * period_s
-        length_s = min(SLOT_SHARE * period_s, LONGEST_SLOT_S)
-        return turn >= 0 and now_s - slot_s < length_s and sent_s < slot_s
+        index = math.floor((now_s - begin_s) / period_s)
+        slot_s = begin_s + index * period_s
+        length_s = min(MAX_SLOT_SHARE * period_s, MAX_SLOT_S)
+        return index >= 0 and now_s - slot_s < length_s and sent_s < slot_s
 
 
 UNLIMITED = Share(0.0)
 
 
 def phase_of(instance: str, replica: str) -> float:
-    """Return the phase of an instance's slots for a replica; evenly spread over instances."""
-    return zlib.crc32(f"{replica}/{instance}".encode()) / _HASHES
+    """Return the phase of an instance's slots for a replica; phases are spread evenly."""
+    return zlib.crc32(f"{replica}/{instance}".encode()) / _HASH_RANGE
--- a/src/turmericlug/wire/suspects_codec.py
+++ b/src/turmericlug/wire/suspects_codec.py
@@ -1,4 +1,4 @@
-"""Requests under suspicion as one instance tells them to another: Cap'n Proto."""
+"""Encoding of the reports on requests that crash replicas: Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 
 _SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("suspects.capnp")))
 _NEVER = 0xFFFFFFFF
-"""Age of what has never happened."""
-_MOST_REQUESTS = 2 * poison.RECORDS
-"""More than any instance holds: a longer list is damaged."""
+"""Age of an event that has never happened."""
+_MAX_REQUESTS = 2 * poison.MAX_RECORDS
+"""More than any instance keeps: a longer list is corrupt."""
 
 
 class MessageError(Exception):
-    """What came is no such message."""
+    """The message is corrupt."""
 
 
 @attrs.frozen
 class Suspects:
-    """What one instance tells of requests."""
+    """One instance's report on requests."""
 
     records: dict[poison.Fingerprint, poison.Record]
     wants_all: bool = False
-    """Whether it asks for all that the other one holds back."""
+    """Whether the sender asks for all requests that the receiver withholds."""
 
 
 def encode(suspects: Suspects, now_s: float) -> bytes:
     """
-    Write a message.
+    Encode a message.
 
-    :param now_s: the time of the records' clock
+    :param now_s: the current time by the records' clock
     """
     message = _SCHEMA.Suspects.new_message(
         wantsAll=suspects.wants_all,
@@ -43,7 +43,7 @@
                 "content": request,
                 "ends": [
                     {"replica": replica, "ageMs": _age_ms(at_s, now_s)}
-                    for replica, at_s in record.ends.items()
+                    for replica, at_s in record.crashes.items()
                 ],
                 "answeredAgeMs": _age_ms(record.answered_s, now_s),
                 "quarantinedAgeMs": _age_ms(record.quarantined_s, now_s),
@@ -68,15 +68,15 @@
 
 def decode(content: bytes, now_s: float) -> Suspects:
     """
-    Read a message.
+    Decode a message.
 
-    :param now_s: the time of the clock that the records are to have
-    :raises MessageError: it is damaged
+    :param now_s: the current time by the clock that the records are to use
+    :raises MessageError: the message is corrupt
     """
     try:
         message = _SCHEMA.Suspects.from_bytes_packed(content)
-        if len(message.requests) > _MOST_REQUESTS:
-            raise MessageError("too many requests")
+        if len(message.requests) > _MAX_REQUESTS:
+            raise MessageError("message lists more requests than an instance keeps")
         records = {each.content: _record(each, now_s) for each in message.requests}
         return Suspects(records, message.wantsAll)
     except MessageError:
@@ -85,14 +85,14 @@
         raise MessageError(str(error).splitlines()[0][:100]) from error
 
 
-def _record(told: capnp.lib.capnp._DynamicStructReader, now_s: float) -> poison.Record:
-    ends = list(told.ends)[: poison.ENDS_KEPT]
-    trial_s = min(told.trialLeftMs / 1000, poison.TRIAL_S)
+def _record(suspect: capnp.lib.capnp._DynamicStructReader, now_s: float) -> poison.Record:
+    crashes = list(suspect.ends)[: poison.MAX_CRASHES]
+    trial_s = min(suspect.trialLeftMs / 1000, poison.TRIAL_TIMEOUT_S)
     return poison.Record(
-        {each.replica: now_s - each.ageMs / 1000 for each in ends},
-        _at_s(told.answeredAgeMs, now_s),
-        _at_s(told.quarantinedAgeMs, now_s),
-        told.quarantines,
+        {each.replica: now_s - each.ageMs / 1000 for each in crashes},
+        _at_s(suspect.answeredAgeMs, now_s),
+        _at_s(suspect.quarantinedAgeMs, now_s),
+        suspect.quarantines,
         now_s + trial_s if trial_s else -math.inf,
     )
 
--- a/tests/direct/test_quarantine.py
+++ b/tests/direct/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What counts as the end of a replica under a request, and what is withheld after it."""
+"""Crashes of replicas that have a request, and the sends that are withheld afterwards."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 Q = b"fingerprint"
 
 
-def play(scripts, scenario, **changes):
-    """Run a scenario with a sender over scripted replicas and a call."""
+def run_scenario(scripts, scenario, **changes):
+    """Run a scenario with a call and a sender to scripted replicas."""
 
     async def main():
         sender = scripted.make_sender(scripts)
@@ -44,12 +44,12 @@
     return asyncio.run(main())
 
 
-def two(first, second):
+def two_replicas(first, second):
     return {"s": {"a": first, "b": second}}
 
 
 def query(make):
-    """Return six shards of two replicas each, and the settings of a query over them."""
+    """Return six shards of two replicas each, and the arguments of a query over them."""
     scripts = {shard: {f"{shard}-{number}": make() for number in (0, 1)} for shard in SHARDS}
     return scripts, {
         "shards": tuple(SHARDS),
@@ -60,23 +60,25 @@
     }
 
 
-def reached(scripts):
+def count_requests(scripts):
     return sum(len(each.requests) for replicas in scripts.values() for each in replicas.values())
 
 
 @pytest.mark.parametrize(
-    ("replica", "leaving", "gone", "ends"),
+    ("replica", "draining", "removed", "crashes"),
     [
         pytest.param(scripted.Ending(), False, False, 1, id="refuses connections"),
-        pytest.param(scripted.Ending(takes_connections=True), False, False, 0, id="reset link"),
+        pytest.param(
+            scripted.Ending(takes_connections=True), False, False, 0, id="reset connection"
+        ),
         pytest.param(scripted.Ending(takes_connections=True), False, True, 1, id="entry lost"),
-        pytest.param(scripted.Ending(takes_connections=True), True, True, 0, id="planned end"),
+        pytest.param(scripted.Ending(takes_connections=True), True, True, 0, id="planned shutdown"),
         pytest.param(
             scripted.Scripted(client.ExchangeError("unreadable response: x")),
             False,
             True,
             0,
-            id="garbled answer",
+            id="corrupt response",
         ),
         pytest.param(
             scripted.Scripted(client.ConnectRefusedError("x")), False, True, 0, id="never sent"
@@ -84,69 +86,72 @@
         pytest.param(scripted.Scripted(scripted.SHED), False, True, 0, id="shed"),
     ],
 )
-def test_what_counts_as_an_end(replica, leaving, gone, ends):
+def test_what_counts_as_a_crash(replica, draining, removed, crashes):
     """
-    Links reset connections, answers are garbled, replicas leave as planned. Taken for ends, they
-    would hold back requests that have done nothing.
+    Networks reset connections, responses are corrupt, replicas shut down as planned. If these
+    counted as crashes, harmless requests would be withheld.
     """
 
     async def scenario(sender, call):
         await obtaining.obtain(sender, call, "s")
-        if gone:
-            sender.replicas.put(scripted.entry("a", "s", draining=leaving))
+        if removed:
+            sender.replicas.put(scripted.entry("a", "s", draining=draining))
             sender.replicas.remove("a")
         record = sender.quarantine.table.records.get(Q)
-        return len(record.ends) if record else 0
+        return len(record.crashes) if record else 0
 
     replica.script = list(replica.script)
     replica.requests.clear()
-    found = play({"s": {"a": replica}}, scenario, max_attempts=1)
-    assert found == ends
+    found = run_scenario({"s": {"a": replica}}, scenario, max_attempts=1)
+    assert found == crashes
 
 
-def test_a_replica_that_starts_again_under_its_name_has_ended():
+def test_a_replica_that_restarts_under_its_name_has_crashed():
     async def scenario(sender, call):
         sender.replicas.put(scripted.entry("a", "s", born_ms=1))
         await obtaining.obtain(sender, call, "s")
         sender.replicas.put(scripted.entry("a", "s", born_ms=2))
-        return list(sender.quarantine.table.records[Q].ends)
+        return list(sender.quarantine.table.records[Q].crashes)
 
-    assert play({"s": {"a": scripted.Ending(takes_connections=True)}}, scenario) == ["a@1"]
+    assert run_scenario({"s": {"a": scripted.Ending(takes_connections=True)}}, scenario) == ["a@1"]
 
 
-def test_silence_and_a_lost_entry_are_an_end():
-    """A machine goes dark under a request: its connections stay open, and its entry lapses."""
+def test_silence_and_a_lost_entry_are_a_crash():
+    """A machine fails silently during a request: connections stay open, and the entry expires."""
 
     async def scenario(sender, call):
         await obtaining.obtain(sender, call, "s")
         sender.replicas.remove("a")
-        return len(sender.quarantine.table.records[Q].ends)
+        return len(sender.quarantine.table.records[Q].crashes)
 
-    found = play({"s": {"a": scripted.Scripted(30.0)}}, scenario, max_attempts=1, deadline_ms=50.0)
+    found = run_scenario(
+        {"s": {"a": scripted.Scripted(30.0)}}, scenario, max_attempts=1, deadline_ms=50.0
+    )
     assert found == 1
 
 
-def test_a_query_that_ends_replicas_is_not_repeated_at_all_shards():
+def test_a_query_that_crashes_replicas_is_not_retried_at_all_shards():
     """
-    A query goes to six shards and ends a replica of each. Repeated at the other replica of each, it
-    would end the whole service; after the third end nothing more is sent.
+    A query goes to six shards and crashes a replica of each. If it were retried at the other
+    replica of each, it would take down the whole service; after the third crash nothing more is
+    sent.
     """
     scripts, changes = query(scripted.Ending)
 
     async def scenario(sender, call):
         return await answering.all_shards(sender, call)
 
-    ending = play(scripts, scenario, **changes)
+    ending = run_scenario(scripts, scenario, **changes)
     assert (ending.outcome, ending.answer.status) == ("failed", 502)
-    assert reached(scripts) <= len(SHARDS) + poison.CRASHES_TO_SUSPECT - 1
+    assert count_requests(scripts) <= len(SHARDS) + poison.CRASHES_TO_SUSPECT - 1
 
 
 STALL_S = 0.15
-"""Longer than the age at which a part of the query is hedged."""
+"""Longer than the hedge delay of the query's parts."""
 
 
 def stall_at(sender, part):
-    """Block the event loop once, while a part of a query begins."""
+    """Block the event loop once, while a part of a query starts."""
     begin, begun = sender.replicas.extra_sends, []
 
     def extra_sends(service):
@@ -159,21 +164,21 @@
 
 
 @pytest.mark.parametrize("part", range(1, len(SHARDS) + 1))
-def test_a_stalled_process_does_not_hedge_parts_that_have_ended(part):
-    """Hedges fell due in the stall and reached further replicas before the ends were known."""
+def test_a_stalled_process_does_not_hedge_parts_of_crashed_replicas(part):
+    """Hedges fell due during the stall and reached further replicas before crashes were known."""
     scripts, changes = query(scripted.Ending)
 
     async def scenario(sender, call):
         stall_at(sender, part)
         return await answering.all_shards(sender, call)
 
-    ending = play(scripts, scenario, **changes)
+    ending = run_scenario(scripts, scenario, **changes)
     assert ending.outcome == "failed"
-    assert reached(scripts) <= len(SHARDS) + poison.CRASHES_TO_SUSPECT - 1
+    assert count_requests(scripts) <= len(SHARDS) + poison.CRASHES_TO_SUSPECT - 1
 
 
-class WiredConnection(scripted.Connection):
-    """A connection on which the answer comes in whatever the event loop does."""
+class SocketConnection(scripted.Connection):
+    """A connection that receives its response even while the event loop is blocked."""
 
     async def exchange(self, request):
         receiving, sending_end = socket.socketpair()
@@ -185,16 +190,16 @@
         return await super().exchange(request)
 
 
-class Wired(scripted.Scripted):
-    """A replica that answers by a socket."""
+class SocketReplica(scripted.Scripted):
+    """A replica whose responses arrive on a socket."""
 
     async def connect(self):
-        return WiredConnection(self)
+        return SocketConnection(self)
 
 
 @contextlib.contextmanager
 def stalled_while_reading():
-    """Block the event loop once, as it handles what it has read."""
+    """Block the event loop once, while it handles received data."""
     loop = asyncio.get_running_loop()
     receiving, sending_end = socket.socketpair()
 
@@ -209,24 +214,24 @@
     sending_end.close()
 
 
-def test_a_stall_of_this_process_is_no_reason_to_hedge(monkeypatch):
+def test_a_stall_of_this_process_causes_no_hedge(monkeypatch):
     """
-    All parts were hedged whose answers had come in while the process stood still: the event loop of
-    the programs runs timers before it reads.
+    All parts were hedged whose responses arrived while the process was stalled: the event loop in
+    production runs timers before it reads.
     """
     monkeypatch.setattr(asyncio.events, "new_event_loop", uvloop.new_event_loop)
-    scripts, changes = query(lambda: Wired(GOOD))
+    scripts, changes = query(lambda: SocketReplica(GOOD))
 
     async def scenario(sender, call):
         with stalled_while_reading():
             await answering.all_shards(sender, call)
         return call.hedges
 
-    assert play(scripts, scenario, **changes) == 0
+    assert run_scenario(scripts, scenario, **changes) == 0
 
 
 def stall_often(sender, rng):
-    """Block the event loop up to seven times, while parts of a query begin and between them."""
+    """Block the event loop up to seven times, while parts of a query start and in between."""
     begin, begun = sender.replicas.extra_sends, itertools.count(1)
     stalled = set(rng.sample(range(1, 2 * len(SHARDS) + 1), rng.randint(1, 3)))
 
@@ -242,20 +247,20 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_a_process_that_stalls_again_and_again_does_not_hedge_parts_that_have_ended(seed):
-    """Hedges fell due in one of several stalls and reached replicas before the ends were known."""
+def test_repeated_stalls_do_not_hedge_parts_of_crashed_replicas(seed):
+    """Hedges fell due in one of several stalls and reached replicas before crashes were known."""
     scripts, changes = query(scripted.Ending)
 
     async def scenario(sender, call):
         stall_often(sender, random.Random(seed))
         return await answering.all_shards(sender, call)
 
-    play(scripts, scenario, **changes)
-    assert reached(scripts) <= len(SHARDS) + poison.CRASHES_TO_SUSPECT - 1
+    run_scenario(scripts, scenario, **changes)
+    assert count_requests(scripts) <= len(SHARDS) + poison.CRASHES_TO_SUSPECT - 1
 
 
-class EndingSlowly(scripted.Ending):
-    """A replica that ends under a request, and whose machine is slow to refuse connections."""
+class SlowToRefuse(scripted.Ending):
+    """A replica that crashes on a request, and whose machine is slow to refuse connections."""
 
     async def connect(self):
         if self.requests:
@@ -263,23 +268,23 @@
         return await super().connect()
 
 
-def test_a_part_is_not_hedged_while_the_end_of_its_replica_is_found_out():
-    """The hedge went to a further replica before the end of the first was known."""
-    scripts, changes = query(EndingSlowly)
+def test_a_part_is_not_hedged_while_its_replica_is_probed():
+    """The hedge went to another replica before the crash of the first was known."""
+    scripts, changes = query(SlowToRefuse)
     changes["goal_ms"] = 120.0
 
     async def scenario(sender, call):
         await answering.all_shards(sender, call)
         return call.hedges
 
-    assert play(scripts, scenario, **changes) == 0
+    assert run_scenario(scripts, scenario, **changes) == 0
 
 
-def test_a_query_beside_lost_replicas_is_answered_in_full():
+def test_a_query_in_flight_at_lost_replicas_is_answered_in_full():
     """
-    A rack is lost: one replica of each of four shards ends with a query under way. The parts of the
-    other shards come a moment later, so that the query is none that ends replicas, and goes on to
-    the other replica of each shard.
+    A rack is lost: one replica of each of four shards crashes with a query in flight. The parts of
+    the other shards are answered a moment later, so that the query is not suspected, and is retried
+    at the other replica of each shard.
     """
     scripts, changes = query(lambda: scripted.Scripted(0.02, GOOD))
     for shard in SHARDS[:4]:
@@ -288,11 +293,11 @@
     async def scenario(sender, call):
         return await answering.all_shards(sender, call)
 
-    ending = play(scripts, scenario, **changes)
+    ending = run_scenario(scripts, scenario, **changes)
     assert (ending.outcome, ending.answer.status) == ("answered", 200)
 
 
-def suspect(sender):
+def make_suspected(sender):
     for number in range(poison.CRASHES_TO_SUSPECT):
         now_s = asyncio.get_running_loop().time()
         sender.quarantine.table.record_crash(Q, f"r{number}", now_s, on_trial=False)
@@ -302,10 +307,10 @@
     ("make", "outcome", "status", "sent", "verdict"),
     [
         pytest.param(
-            lambda: scripted.Scripted(GOOD), None, None, 1, poison.Verdict.ALLOWED, id="innocent"
+            lambda: scripted.Scripted(GOOD), None, None, 1, poison.Verdict.ALLOWED, id="harmless"
         ),
         pytest.param(
-            scripted.Ending, "failed", 500, 1, poison.Verdict.QUARANTINED, id="ends a replica"
+            scripted.Ending, "failed", 500, 1, poison.Verdict.QUARANTINED, id="crashes a replica"
         ),
         pytest.param(
             lambda: scripted.Scripted(scripted.SHED),
@@ -321,26 +326,26 @@
             502,
             1,
             poison.Verdict.SUSPECTED,
-            id="nothing learned",
+            id="inconclusive",
         ),
     ],
 )
-def test_a_suspected_query_goes_to_one_replica(make, outcome, status, sent, verdict):
+def test_a_suspected_query_is_sent_to_one_replica(make, outcome, status, sent, verdict):
     """
-    Two callers come back whose queries were under way when replicas ended. One of the queries is
-    the reason, and its trial costs one replica; the other one is answered and goes on as usual.
+    Two callers repeat queries that were in flight when replicas crashed. One of the queries is the
+    cause, and its trial costs one replica; the other is answered and proceeds as usual.
     """
     scripts, changes = query(make)
 
     async def scenario(sender, call):
-        suspect(sender)
+        make_suspected(sender)
         return await trial.before(sender, call), sender.quarantine.verdict(Q)
 
-    ending, found = play(scripts, scenario, **changes)
+    ending, found = run_scenario(scripts, scenario, **changes)
     assert found is verdict
     assert (ending and ending.outcome, ending and ending.answer.status) == (outcome, status)
     if sent is not None:
-        assert reached(scripts) == sent
+        assert count_requests(scripts) == sent
 
 
 @pytest.mark.parametrize(
@@ -350,48 +355,48 @@
         (scripted.Ending, "failed", 500),
         (lambda: scripted.Scripted(scripted.SHED), "refused", 503),
     ],
-    ids=["innocent", "ends a replica", "not run"],
+    ids=["harmless", "crashes a replica", "not run"],
 )
 def test_a_suspected_request_to_one_service(first, outcome, status):
-    scripts = two(first(), first())
+    scripts = two_replicas(first(), first())
 
     async def scenario(sender, call):
-        suspect(sender)
+        make_suspected(sender)
         return await trial.instead(sender, call, "s")
 
-    ending = play(scripts, scenario)
+    ending = run_scenario(scripts, scenario)
     assert (ending.outcome, ending.answer.status) == (outcome, status)
 
 
-def test_an_attempt_beside_a_trial_waits_for_its_outcome():
-    """Callers of a popular query come together while it is on trial; one trial decides for all."""
+def test_an_attempt_during_a_trial_waits_for_its_outcome():
+    """A popular query is on trial while further callers send it; one trial decides for all."""
     scripts, changes = query(lambda: scripted.Scripted(0.05, GOOD))
 
     async def scenario(sender, call):
-        suspect(sender)
+        make_suspected(sender)
         other = scripted.make_call(**changes)
         other.fingerprint = Q
         return await asyncio.gather(trial.before(sender, call), trial.before(sender, other))
 
-    assert play(scripts, scenario, **changes) == [None, None]
-    assert reached(scripts) == 1
+    assert run_scenario(scripts, scenario, **changes) == [None, None]
+    assert count_requests(scripts) == 1
 
 
 @pytest.mark.parametrize("enabled", [True, False])
-def test_a_quarantined_request_gets_its_answer_at_once(enabled):
-    """Nothing is sent, and the answer neither promises anything nor asks to come back."""
+def test_a_quarantined_request_is_answered_at_once(enabled):
+    """Nothing is sent; the answer neither says that the request did not run nor invites a retry."""
     scripts, changes = query(lambda: scripted.Scripted(GOOD))
 
     async def scenario(sender, call):
         sender.quarantine.enabled = enabled
-        suspect(sender)
+        make_suspected(sender)
         sender.quarantine.table.record_crash(
             Q, "t", asyncio.get_running_loop().time(), on_trial=True
         )
         return await trial.before(sender, call)
 
-    ending = play(scripts, scenario, **changes)
-    assert reached(scripts) == 0
+    ending = run_scenario(scripts, scenario, **changes)
+    assert count_requests(scripts) == 0
     if not enabled:
         assert ending is None
         return
@@ -399,39 +404,41 @@
     assert not sending.promises_not_run(ending.answer.status)
 
 
-def test_what_is_under_way_is_broken_off_and_ends():
+def test_calls_in_flight_of_a_quarantined_request_are_aborted():
     """
-    Another instance quarantines a request that waits in the queues of replicas here. Their
-    connections are closed, so that they drop it, and the caller gets an answer at once.
+    Another instance quarantines a request that is queued at replicas to which this one sent it. The
+    connections are closed, so that the replicas drop it, and the caller gets an answer at once.
     """
     scripts, changes = query(lambda: scripted.Scripted(5.0, GOOD))
 
     async def scenario(sender, call):
         now_s = asyncio.get_running_loop().time()
-        told = poison.Record({f"r{n}": now_s for n in range(4)}, quarantined_s=now_s, quarantines=1)
+        reported = poison.Record(
+            {f"r{n}": now_s for n in range(4)}, quarantined_s=now_s, quarantines=1
+        )
         with sender.quarantine.in_flight(call):
             work = asyncio.create_task(answering.all_shards(sender, call))
             await asyncio.sleep(0.05)
-            assert sender.quarantine.learn(Q, told)
+            assert sender.quarantine.merge_report(Q, reported)
             ending = await work
         return ending, asyncio.get_running_loop().time() - now_s
 
-    ending, took_s = play(scripts, scenario, **changes)
+    ending, took_s = run_scenario(scripts, scenario, **changes)
     assert (ending.outcome, ending.answer.status) == ("failed", 502)
     assert took_s < 1.0
     assert sum(each.cancelled for group in scripts.values() for each in group.values()) == 6
 
 
-def test_the_unsettled_are_bounded_and_forgotten():
+def test_unresolved_requests_are_bounded_and_expire():
     async def scenario(sender, call):
         (replica,) = sender.replicas.of("s")
-        for number in range(3 * quarantine.MOST_UNSETTLED):
+        for number in range(3 * quarantine.MAX_UNRESOLVED):
             call.fingerprint = b"%d" % number
             await sender.quarantine.record_outcome(call, replica, sending.Unknown(sending.SILENT))
-        kept = sum(len(each) for each in sender.quarantine._unsettled.values())
+        kept = sum(len(each) for each in sender.quarantine._unresolved.values())
         sender.quarantine._now_s = lambda: 1e9
         sender.quarantine.expire()
-        return kept, len(sender.quarantine._unsettled)
+        return kept, len(sender.quarantine._unresolved)
 
-    found = play({"s": {"a": scripted.Scripted(GOOD)}}, scenario)
-    assert found == (quarantine.MOST_UNSETTLED, 0)
+    found = run_scenario({"s": {"a": scripted.Scripted(GOOD)}}, scenario)
+    assert found == (quarantine.MAX_UNRESOLVED, 0)
--- a/tests/entry/test_suspects.py
+++ b/tests/entry/test_suspects.py
@@ -1,4 +1,4 @@
-"""Instances tell each other under which requests replicas have ended."""
+"""Gossip between instances about requests that crash replicas."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Instance:
-    """An instance with its own book, which others can tell."""
+    """An instance with its own suspect table that receives reports of others."""
 
     def __init__(self, name, stack):
         self.name = name
@@ -42,10 +42,10 @@
         self.counters = counters_module.Counters()
         self.quarantine = quarantine_module.Quarantine(self.counters, loop.time)
         self.peers = replicas_module.Replicas(self._make_pool, PLACE, budget.Allowance())
-        self.teller = suspects.SuspectGossip(
+        self.gossip = suspects.SuspectGossip(
             self.quarantine, self.peers, self.counters, "dc", random.Random(name)
         )
-        self.deaf = False
+        self.cut_off = False
         self.port = 0
 
     def _make_pool(self, entry):
@@ -55,11 +55,11 @@
         return pool_module.Pool(connect, lambda: 4, asyncio.get_running_loop().time)
 
     async def listen(self):
-        """Take what others tell."""
-        handle = suspects.handler(self.quarantine, self.teller)
+        """Serve the reports of other instances."""
+        handle = suspects.handler(self.quarantine, self.gossip)
 
         async def handler(request):
-            return messages.Answer(404) if self.deaf else await handle(request)
+            return messages.Answer(404) if self.cut_off else await handle(request)
 
         entrance = server.Server(handler, messages.Limits, 100)
         listener = await server.listen(entrance, "127.0.0.1", 0)
@@ -68,12 +68,12 @@
         self.port = listener.sockets[0].getsockname()[1]
 
     async def start(self):
-        """Tell others, and keep in step with them."""
-        works = (self.teller.run_broadcast(), self.teller.run_sync())
-        await self.stack.enter_async_context(tasks.background(*works))
+        """Run the gossip with other instances."""
+        loops = (self.gossip.run_broadcast(), self.gossip.run_sync())
+        await self.stack.enter_async_context(tasks.background(*loops))
 
-    def meet(self, others):
-        """Know other instances."""
+    def add_peers(self, others):
+        """Add other instances as peers."""
         for other in others:
             if other is not self:
                 self.peers.put(
@@ -82,17 +82,17 @@
                     )
                 )
 
-    def end(self, replica, on_trial=False, request=Q):
-        """See a replica end."""
-        ended = replica_module.Replica(scripted.entry(replica), None)
-        self.quarantine._ended(request, ended, on_trial)
+    def crash(self, replica, on_trial=False, request=Q):
+        """Observe the crash of a replica."""
+        crashed = replica_module.Replica(scripted.entry(replica), None)
+        self.quarantine._record_crash(request, crashed, on_trial)
 
     def verdict(self):
         return self.quarantine.verdict(Q)
 
 
-def play(count, scenario):
-    """Run a scenario with some instances that know each other."""
+def run_scenario(count, scenario):
+    """Run a scenario with a number of instances that are peers of each other."""
 
     async def main():
         async with contextlib.AsyncExitStack() as stack:
@@ -100,7 +100,7 @@
             for each in instances:
                 await each.listen()
             for each in instances:
-                each.meet(instances)
+                each.add_peers(instances)
                 await each.start()
             async with asyncio.timeout(30):
                 await scenario(instances)
@@ -115,48 +115,48 @@
 
 
 @pytest.mark.parametrize("count", [7, 40])
-def test_ends_seen_at_different_instances_reach_all(monkeypatch, count):
+def test_crashes_observed_by_different_instances_reach_all(monkeypatch, count):
     """
-    A caller comes back at another instance each time, each of which sees one replica end. All are
-    to know by what each tells at once, also where that goes to a few others only.
+    A caller repeats its request at another instance each time, and each observes one crash. The
+    immediate reports must reach all instances, also if each goes to a few others only.
     """
-    monkeypatch.setattr(suspects, "EXCHANGE_EVERY_S", 1000.0)
+    monkeypatch.setattr(suspects, "SYNC_INTERVAL_S", 1000.0)
 
     async def scenario(instances):
         for number, each in enumerate(instances[:3]):
-            each.end(f"r{number}")
+            each.crash(f"r{number}")
         await until(lambda: all(each.verdict() is poison.Verdict.SUSPECTED for each in instances))
-        instances[-1].end("r9", on_trial=True)
+        instances[-1].crash("r9", on_trial=True)
         await until(lambda: all(each.verdict() is poison.Verdict.QUARANTINED for each in instances))
         assert instances[4].quarantine.lift(Q)
         await until(lambda: all(each.verdict() is poison.Verdict.ALLOWED for each in instances))
 
-    play(count, scenario)
+    run_scenario(count, scenario)
 
 
-def test_an_instance_that_was_deaf_or_has_just_started_learns_it(monkeypatch):
+def test_an_instance_that_was_cut_off_or_has_just_started_catches_up(monkeypatch):
     """
-    One instance was cut off when the others learned of a request, another one starts later. Both
-    would send it on to replicas.
+    One instance was cut off when the others were sent reports of a request, another one starts
+    later. Without the periodic exchange both would send the request to replicas.
     """
-    monkeypatch.setattr(suspects, "EXCHANGE_EVERY_S", 0.2)
+    monkeypatch.setattr(suspects, "SYNC_INTERVAL_S", 0.2)
 
     async def scenario(instances):
-        deaf = instances[-1]
-        deaf.deaf = True
+        isolated = instances[-1]
+        isolated.cut_off = True
         for number in range(3):
-            instances[0].end(f"r{number}")
+            instances[0].crash(f"r{number}")
         await until(lambda: instances[1].verdict() is poison.Verdict.SUSPECTED)
         await asyncio.sleep(0.1)
-        assert deaf.verdict() is poison.Verdict.ALLOWED
-        deaf.deaf = False
-        await until(lambda: deaf.verdict() is poison.Verdict.SUSPECTED)
+        assert isolated.verdict() is poison.Verdict.ALLOWED
+        isolated.cut_off = False
+        await until(lambda: isolated.verdict() is poison.Verdict.SUSPECTED)
         late = Instance("late", instances[0].stack)
-        late.meet(instances)
+        late.add_peers(instances)
         await late.start()
         await until(lambda: late.verdict() is poison.Verdict.SUSPECTED)
 
-    play(5, scenario)
+    run_scenario(5, scenario)
 
 
 def test_an_answer_at_one_instance_clears_a_request_at_all():
@@ -165,29 +165,29 @@
         call.fingerprint = Q
         instances[3].quarantine.record_answer(call)
         for number in range(3):
-            instances[0].end(f"r{number}")
+            instances[0].crash(f"r{number}")
         assert instances[0].verdict() is poison.Verdict.SUSPECTED
         await until(lambda: instances[0].verdict() is poison.Verdict.ALLOWED)
         await until(lambda: all(each.verdict() is poison.Verdict.ALLOWED for each in instances))
 
-    play(5, scenario)
+    run_scenario(5, scenario)
 
 
-def test_a_first_end_that_is_answered_soon_is_not_told():
-    """A rack is lost: hundreds of requests were there and are answered by the other replicas."""
+def test_a_first_crash_that_is_soon_followed_by_an_answer_is_not_reported():
+    """A rack is lost: hundreds of requests in flight there are answered by the other replicas."""
 
     async def scenario(instances):
         await until(lambda: instances[0].counters.totals["poison.exchanges"])
-        instances[0].end("r0")
+        instances[0].crash("r0")
         call = scripted.make_call()
         call.fingerprint = Q
         instances[0].quarantine.record_answer(call)
         before = instances[0].counters.totals["poison.exchanges"]
-        await asyncio.sleep(2 * suspects.SETTLE_S)
+        await asyncio.sleep(2 * suspects.FIRST_CRASH_DELAY_S)
         assert instances[0].counters.totals["poison.exchanges"] == before
         assert not instances[1].quarantine.table.records
 
-    play(3, scenario)
+    run_scenario(3, scenario)
 
 
 def exchanges(instances):
@@ -195,22 +195,22 @@
 
 
 @pytest.mark.parametrize("count", [7, 20])
-def test_telling_comes_to_an_end(monkeypatch, count):
+def test_gossip_terminates(monkeypatch, count):
     """
-    A query was beside the culprit at many replicas that ended, each instance saw other ends of it,
-    and its caller came back and was answered. What the instances then told each other never came to
-    the same: seven of them sent 0.161 GB between regions in a minute and a half, and took 232
-    processor seconds instead of 35.
+    A query was in flight beside a poison request at many replicas that crashed, each instance
+    observed other crashes of it, and its caller repeated it and was answered. The reports between
+    the instances then never converged: seven of them sent 0.161 GB between regions in 90 s, and
+    took 232 s of CPU time instead of 35.
     """
-    monkeypatch.setattr(suspects, "EXCHANGE_EVERY_S", 0.3)
+    monkeypatch.setattr(suspects, "SYNC_INTERVAL_S", 0.3)
 
     async def scenario(instances):
         await until(lambda: all(each.counters.totals["poison.exchanges"] for each in instances))
         for number, each in enumerate(instances):
             for replica in range(12):
-                each.end(f"r{number}-{replica}")
+                each.crash(f"r{number}-{replica}")
             for request in range(10):
-                each.end(f"r{number}", request=b"beside-%d-%d" % (number, request))
+                each.crash(f"r{number}", request=b"beside-%d-%d" % (number, request))
         await asyncio.sleep(0.5)
         assert {each.verdict() for each in instances} == {poison.Verdict.SUSPECTED}
         call = scripted.make_call()
@@ -223,18 +223,18 @@
                 before = exchanges(instances)
                 await asyncio.sleep(0.5)
 
-    play(count, scenario)
+    run_scenario(count, scenario)
 
 
-def test_nothing_is_sent_while_nothing_is_held_back(monkeypatch):
-    monkeypatch.setattr(suspects, "EXCHANGE_EVERY_S", 0.05)
+def test_nothing_is_sent_while_no_request_is_withheld(monkeypatch):
+    monkeypatch.setattr(suspects, "SYNC_INTERVAL_S", 0.05)
 
     async def scenario(instances):
         await until(lambda: all(each.counters.totals["poison.exchanges"] for each in instances))
         await asyncio.sleep(0.5)
         assert [each.counters.totals["poison.exchanges"] for each in instances] == [1, 1, 1]
 
-    play(3, scenario)
+    run_scenario(3, scenario)
 
 
 TIMES_S = strategies.one_of(strategies.just(-math.inf), strategies.floats(0.0, 1000.0))
@@ -254,14 +254,14 @@
     strategies.dictionaries(strategies.binary(min_size=16, max_size=16), RECORDS),
     strategies.booleans(),
 )
-def test_messages_keep_what_they_tell(records, wants_all):
+def test_encoding_round_trip(records, wants_all):
     message = suspects_codec.encode(suspects_codec.Suspects(records, wants_all), 1000.0)
-    told = suspects_codec.decode(message, 1000.0)
-    assert told.wants_all is wants_all
-    assert told.records.keys() == records.keys()
+    decoded = suspects_codec.decode(message, 1000.0)
+    assert decoded.wants_all is wants_all
+    assert decoded.records.keys() == records.keys()
     for request, record in records.items():
-        found = told.records[request]
-        assert found.ends == pytest.approx(record.ends, abs=0.001)
+        found = decoded.records[request]
+        assert found.crashes == pytest.approx(record.crashes, abs=0.001)
         assert found.quarantines == record.quarantines
         times = [
             (each.answered_s, each.quarantined_s, each.trial_until_s) for each in (found, record)
@@ -270,7 +270,7 @@
 
 
 @given(strategies.binary(max_size=200))
-def test_damage_is_told_as_such(content):
+def test_corrupt_messages_raise_only_message_errors(content):
     try:
         suspects_codec.decode(content, 0.0)
     except suspects_codec.MessageError:
--- a/tests/mutants_daemon.py
+++ b/tests/mutants_daemon.py
@@ -224,7 +224,7 @@
         "owner/test_service_queue.py::test_waiting_hedge_goes_before_new_parts",
     ),
     mutant.one(
-        "retry-what-ends-targets",
+        "retry-requests-that-crash-targets",
         "owner/suspects.py",
         "        if verdict is poison.Verdict.QUARANTINED:\n"
         "            return part_module.FAILED\n",
--- a/tests/policy/fleet_model.py
+++ b/tests/policy/fleet_model.py
@@ -1,4 +1,4 @@
-"""A model of many instances before many replicas, with the real book of suspected requests."""
+"""A simulation of many instances that send to many replicas, with the real suspect tables."""
 
 from __future__ import annotations
 
@@ -12,18 +12,21 @@
 
 SHARDS = 20
 RUN_S = (0.015, 0.06)
-CONFIRM_S = 0.01
-"""Time in which a refused connection tells that a replica has ended."""
-JOURNEY_S = (0.002, 0.04)
-SETTLE_S = 0.2
-"""Time for which a first end is kept back before it is told."""
-LETHAL = b"lethal"
+"""Range of the time that a replica takes to run a part."""
+PROBE_S = 0.01
+"""Time until a refused connection shows that a replica has crashed."""
+DELAY_S = (0.002, 0.04)
+"""Range of the transmission delay between instances."""
+FIRST_CRASH_DELAY_S = 0.2
+"""Delay of the report of a first crash."""
+POISON = b"lethal"
+"""The request that crashes each replica that runs it."""
 RETRY_AFTER_S = 0.05
 
 
 @attrs.define(eq=False)
 class Replica:
-    """A replica, with what it has under way."""
+    """A replica with its parts in flight."""
 
     name: str
     up: bool = True
@@ -33,19 +36,19 @@
 
 @attrs.define(eq=False)
 class Part:
-    """One part of a query under way at a replica."""
+    """One part of a query in flight at a replica."""
 
     query: Query
     shard: int
     replica: Replica
     attempt: int
     on_trial: bool = False
-    over: bool = False
+    done: bool = False
 
 
 @attrs.define(eq=False)
 class Query:
-    """One attempt of a caller."""
+    """One attempt by a caller."""
 
     request: bytes
     instance: int
@@ -60,23 +63,23 @@
 
     def __init__(self, instances, seed, replicas=2):
         self.rng = random.Random(seed)
-        self.books = [poison.Book() for _ in range(instances)]
+        self.tables = [poison.SuspectTable() for _ in range(instances)]
         self.shards = [
             [Replica(f"s{shard}-{number}") for number in range(replicas)] for shard in range(SHARDS)
         ]
         self.now_s = 0.0
         self.events = []
-        self.numbers = itertools.count()
-        self.turned_away = 0
-        self.told = 0
-        """Messages that instances have had from each other."""
-        self.asked = 0
-        self.lethal_reached_s = []
-        self.ends_s = []
-        """When replicas ended under the culprit."""
-
-    def at(self, delay_s, work, *arguments):
-        heapq.heappush(self.events, (self.now_s + delay_s, next(self.numbers), work, arguments))
+        self.sequence = itertools.count()
+        self.rejected = 0
+        self.reports = 0
+        """Messages received by instances from each other."""
+        self.requests = 0
+        self.poison_reached_s = []
+        self.crashes_s = []
+        """Times at which the poison request crashed replicas."""
+
+    def schedule(self, delay_s, work, *arguments):
+        heapq.heappush(self.events, (self.now_s + delay_s, next(self.sequence), work, arguments))
 
     def run(self, until_s):
         while self.events and self.events[0][0] < until_s:
@@ -85,48 +88,48 @@
 
     # Callers
 
-    def ask(self, request, attempt=0):
-        self.asked += request != LETHAL and not attempt
-        query = Query(request, self.rng.randrange(len(self.books)), attempt)
-        book = self.books[query.instance]
-        verdict = book.verdict(request, self.now_s)
+    def submit(self, request, attempt=0):
+        self.requests += request != POISON and not attempt
+        query = Query(request, self.rng.randrange(len(self.tables)), attempt)
+        table = self.tables[query.instance]
+        verdict = table.verdict(request, self.now_s)
         if verdict is poison.Verdict.QUARANTINED:
-            self.turned_away += request != LETHAL
+            self.rejected += request != POISON
         elif verdict is poison.Verdict.ALLOWED:
             self.send_all(query)
-        elif book.begin_trial(request, self.now_s):
-            self.tell(query.instance, request)
-            self.try_one(query)
+        elif table.begin_trial(request, self.now_s):
+            self.broadcast(query.instance, request)
+            self.run_trial(query)
         else:
-            self.at(0.02, self.wait, query, self.now_s + 0.25)
+            self.schedule(0.02, self.poll_trial, query, self.now_s + 0.25)
 
-    def wait(self, query, until_s):
-        verdict = self.books[query.instance].verdict(query.request, self.now_s)
+    def poll_trial(self, query, until_s):
+        verdict = self.tables[query.instance].verdict(query.request, self.now_s)
         if verdict is poison.Verdict.SUSPECTED and self.now_s < until_s:
-            self.at(0.02, self.wait, query, until_s)
+            self.schedule(0.02, self.poll_trial, query, until_s)
         elif verdict is poison.Verdict.ALLOWED:
             self.send_all(query)
         else:
-            self.turned_away += query.request != LETHAL
+            self.rejected += query.request != POISON
 
     def send_all(self, query):
         for shard in range(SHARDS):
             self.send(query, shard, 0)
-        self.settle(query)
+        self.retry_if_unanswered(query)
 
-    def try_one(self, query):
+    def run_trial(self, query):
         shard = self.rng.randrange(SHARDS)
         if not self.send(query, shard, 1, on_trial=True):
-            self.books[query.instance].cancel_trial(query.request, self.now_s)
-            self.again(query)
+            self.tables[query.instance].cancel_trial(query.request, self.now_s)
+            self.retry(query)
 
-    def again(self, query):
+    def retry(self, query):
         if query.attempt == 0:
-            self.at(RETRY_AFTER_S, self.ask, query.request, 1)
+            self.schedule(RETRY_AFTER_S, self.submit, query.request, 1)
 
-    def settle(self, query):
+    def retry_if_unanswered(self, query):
         if not query.open_parts and not query.answered:
-            self.again(query)
+            self.retry(query)
 
     # Replicas
 
@@ -138,80 +141,82 @@
         part = Part(query, shard, replica, attempt, on_trial)
         replica.parts.add(part)
         query.open_parts += 1
-        if query.request == LETHAL:
+        if query.request == POISON:
             if not query.reached:
-                self.lethal_reached_s.append(self.now_s)
+                self.poison_reached_s.append(self.now_s)
             query.reached = True
-            self.at(0.01, self.end, replica, replica.starts, 1.0)
+            self.schedule(0.01, self.crash, replica, replica.starts, 1.0)
         else:
-            self.at(self.rng.uniform(*RUN_S), self.finish, part)
+            self.schedule(self.rng.uniform(*RUN_S), self.finish, part)
         return True
 
     def finish(self, part):
-        if part.over:
+        if part.done:
             return
-        part.over = True
+        part.done = True
         part.replica.parts.discard(part)
         query = part.query
         query.open_parts -= 1
         query.answered += 1
-        if self.books[query.instance].record_answer(query.request, self.now_s):
-            self.tell(query.instance, query.request)
+        if self.tables[query.instance].record_answer(query.request, self.now_s):
+            self.broadcast(query.instance, query.request)
         if part.on_trial:
             self.send_all(query)
 
-    def end(self, replica, start, away_s):
+    def crash(self, replica, start, downtime_s):
         if not replica.up or replica.starts != start:
             return
         replica.up = False
         parts, replica.parts = replica.parts, set()
-        if any(part.query.request == LETHAL for part in parts):
-            self.ends_s.append(self.now_s)
+        if any(part.query.request == POISON for part in parts):
+            self.crashes_s.append(self.now_s)
         for part in parts:
-            part.over = True
-            self.at(CONFIRM_S, self.broken, part, f"{replica.name}-{start}")
-        self.at(away_s, self.start, replica)
+            part.done = True
+            self.schedule(PROBE_S, self.part_failed, part, f"{replica.name}-{start}")
+        self.schedule(downtime_s, self.restart, replica)
 
-    def start(self, replica):
+    def restart(self, replica):
         replica.up = True
         replica.starts += 1
 
-    def broken(self, part, name):
+    def part_failed(self, part, process):
         query = part.query
         query.open_parts -= 1
-        book = self.books[query.instance]
-        verdict = book.record_crash(query.request, name, self.now_s, part.on_trial)
+        table = self.tables[query.instance]
+        verdict = table.record_crash(query.request, process, self.now_s, part.on_trial)
         if verdict is not poison.Verdict.ALLOWED:
-            self.tell(query.instance, query.request)
+            self.broadcast(query.instance, query.request)
         else:
-            self.at(SETTLE_S, self.tell_if_open, query.instance, query.request)
+            self.schedule(
+                FIRST_CRASH_DELAY_S, self.broadcast_if_unanswered, query.instance, query.request
+            )
             if part.attempt == 0:
                 self.send(query, part.shard, 1)
-        self.settle(query)
+        self.retry_if_unanswered(query)
 
-    # What instances tell each other
+    # Reports between instances
 
-    def tell_if_open(self, instance, request):
-        record = self.books[instance].records.get(request)
+    def broadcast_if_unanswered(self, instance, request):
+        record = self.tables[instance].records.get(request)
         if record is not None and record.recent_crashes(self.now_s):
-            self.tell(instance, request)
+            self.broadcast(instance, request)
 
-    def tell(self, instance, request):
-        for other in range(len(self.books)):
+    def broadcast(self, instance, request):
+        for other in range(len(self.tables)):
             if other != instance:
-                self.tell_one(instance, other, request)
-
-    def tell_one(self, instance, other, request, reply=False):
-        record = self.books[instance].records[request]
-        copy = attrs.evolve(record, ends=dict(record.ends))
-        delay_s = self.rng.uniform(*JOURNEY_S)
-        self.at(delay_s, self.hear, other, request, copy, instance, reply)
-
-    def hear(self, instance, request, record, teller, reply):
-        self.told += 1
-        book = self.books[instance]
-        news = book.learn(request, record, self.now_s)
-        if news and reply:
-            self.tell(instance, request)
-        elif request in book.records and book.contradicts(request, record, self.now_s):
-            self.tell_one(instance, teller, request, reply=True)
+                self.send_report(instance, other, request)
+
+    def send_report(self, instance, other, request, reply=False):
+        record = self.tables[instance].records[request]
+        copy = attrs.evolve(record, crashes=dict(record.crashes))
+        delay_s = self.rng.uniform(*DELAY_S)
+        self.schedule(delay_s, self.receive_report, other, request, copy, instance, reply)
+
+    def receive_report(self, instance, request, record, sender, reply):
+        self.reports += 1
+        table = self.tables[instance]
+        changed = table.merge_report(request, record, self.now_s)
+        if changed and reply:
+            self.broadcast(instance, request)
+        elif request in table.records and table.has_newer_answer(request, record, self.now_s):
+            self.send_report(instance, sender, request, reply=True)
--- a/tests/policy/test_poison_fleet.py
+++ b/tests/policy/test_poison_fleet.py
@@ -1,7 +1,7 @@
 """
-Replays of replicas that end, for one request or for other reasons, before many instances.
+Simulations of crashing replicas behind many instances, due to one request or to other faults.
 
-Requests are popular ones, which come again and again, or asked once; callers come back once.
+Some requests are popular and repeat again and again, the others occur once; callers retry once.
 """
 
 from __future__ import annotations
@@ -9,107 +9,110 @@
 import fleet_model
 import pytest
 
-SECONDS = 12.0
-PER_S = 80.0
+DURATION_S = 12.0
+REQUESTS_PER_S = 80.0
 POPULAR = 30
 POPULAR_SHARE = 0.5
-MOST_AFTER = 3
-"""Attempts of the culprit that may reach replicas once the time to spread is over."""
-SPREAD_S = 1.0
-LETHAL_EVERY_S = 0.37
+MAX_LATE_ATTEMPTS = 3
+"""Attempts of the poison request that may reach replicas after the propagation time."""
+PROPAGATION_S = 1.0
+"""Time that reports may take to reach all instances."""
+POISON_INTERVAL_S = 0.37
 
 
-def begin(instances, seed):
-    """Return a fleet with callers."""
+def make_fleet(instances, seed):
+    """Return a fleet with scheduled requests."""
     fleet = fleet_model.Fleet(instances, seed)
-    for number in range(int(SECONDS * PER_S)):
+    for number in range(int(DURATION_S * REQUESTS_PER_S)):
         if fleet.rng.random() < POPULAR_SHARE:
             request = b"popular-%d" % fleet.rng.randrange(POPULAR)
         else:
             request = b"once-%d" % number
-        fleet.at(fleet.rng.uniform(0.0, SECONDS), fleet.ask, request)
+        fleet.schedule(fleet.rng.uniform(0.0, DURATION_S), fleet.submit, request)
     return fleet
 
 
-def end_all(fleet, replicas, away_s=1.0):
+def crash_all(fleet, replicas, downtime_s=1.0):
     for replica in replicas:
-        fleet.end(replica, replica.starts, away_s)
+        fleet.crash(replica, replica.starts, downtime_s)
 
 
-def everything(fleet):
+def all_replicas(fleet):
     return [replica for shard in fleet.shards for replica in shard]
 
 
 def shard_by_shard(fleet):
     for second in range(1, 11):
-        fleet.at(second, lambda n=second: end_all(fleet, fleet.shards[n % fleet_model.SHARDS]))
+        fleet.schedule(
+            second, lambda n=second: crash_all(fleet, fleet.shards[n % fleet_model.SHARDS])
+        )
 
 
-def rack(fleet):
+def rack_loss(fleet):
     for second in (2.0, 5.0, 8.0):
-        replicas = fleet.rng.sample(everything(fleet), 13)
-        fleet.at(second, end_all, fleet, replicas)
+        replicas = fleet.rng.sample(all_replicas(fleet), 13)
+        fleet.schedule(second, crash_all, fleet, replicas)
 
 
-def rolling(fleet):
-    for number, replica in enumerate(everything(fleet)):
-        fleet.at(1.0 + 0.2 * number, end_all, fleet, [replica])
+def staggered(fleet):
+    for number, replica in enumerate(all_replicas(fleet)):
+        fleet.schedule(1.0 + 0.2 * number, crash_all, fleet, [replica])
 
 
 def power_loss(fleet):
     for second in (3.0, 7.0):
-        fleet.at(second, lambda: end_all(fleet, everything(fleet), 2.0))
+        fleet.schedule(second, lambda: crash_all(fleet, all_replicas(fleet), 2.0))
 
 
-def culprit(fleet):
+def poison_request(fleet):
     moment_s = 2.0
-    while moment_s < SECONDS:
-        fleet.at(moment_s, fleet.ask, fleet_model.LETHAL)
-        moment_s += LETHAL_EVERY_S
+    while moment_s < DURATION_S:
+        fleet.schedule(moment_s, fleet.submit, fleet_model.POISON)
+        moment_s += POISON_INTERVAL_S
 
 
 @pytest.mark.parametrize("instances", [7, 195])
-@pytest.mark.parametrize("trouble", [shard_by_shard, rack, rolling, power_loss])
-def test_the_innocent_are_served_while_replicas_end_for_other_reasons(trouble, instances):
+@pytest.mark.parametrize("fault", [shard_by_shard, rack_loss, staggered, power_loss])
+def test_no_request_is_withheld_when_replicas_crash_for_other_reasons(fault, instances):
     """
-    Popular queries are under way at replica after replica that ends: a shard's two at once, a rack,
-    one after the other, all. Held back for it, thousands of callers would go without.
+    Popular queries are in flight at many replicas that crash: both of a shard at once, a rack, one
+    after the other, all. If they were withheld, thousands of callers would get no answer.
     """
     for seed in range(3):
-        fleet = begin(instances, seed)
-        trouble(fleet)
-        fleet.run(SECONDS + 5)
-        assert fleet.asked == int(SECONDS * PER_S)
-        assert fleet.turned_away == 0
+        fleet = make_fleet(instances, seed)
+        fault(fleet)
+        fleet.run(DURATION_S + 5)
+        assert fleet.requests == int(DURATION_S * REQUESTS_PER_S)
+        assert fleet.rejected == 0
 
 
 @pytest.mark.parametrize("instances", [7, 195])
-def test_a_culprit_is_held_back_and_those_beside_it_are_served(instances):
+def test_a_poison_request_is_withheld_and_concurrent_requests_are_served(instances):
     """
-    A request that ends replicas comes each 0.37 s, at any instance, beside others that are under
-    way at the replicas that end.
+    A request that crashes replicas is sent every 0.37 s, to any instance, while others are in
+    flight at the replicas that crash.
     """
     for seed in range(6):
-        fleet = begin(instances, seed)
-        culprit(fleet)
-        fleet.run(SECONDS + 5)
-        third_s = fleet.ends_s[2]
-        after = [each for each in fleet.lethal_reached_s if each > third_s + SPREAD_S]
-        assert len(after) <= MOST_AFTER
-        assert fleet.turned_away == 0
+        fleet = make_fleet(instances, seed)
+        poison_request(fleet)
+        fleet.run(DURATION_S + 5)
+        third_s = fleet.crashes_s[2]
+        late = [each for each in fleet.poison_reached_s if each > third_s + PROPAGATION_S]
+        assert len(late) <= MAX_LATE_ATTEMPTS
+        assert fleet.rejected == 0
 
 
 @pytest.mark.parametrize("instances", [7, 195])
-def test_ends_one_at_a_time_at_different_instances_add_up(instances):
-    """One replica is up at a time, so that each attempt ends one, seen by a random instance."""
+def test_single_crashes_at_different_instances_are_counted_together(instances):
+    """One replica is up, so that each attempt crashes one, observed by a random instance."""
     fleet = fleet_model.Fleet(instances, 1, replicas=1)
     for shard in fleet.shards[1:]:
         shard[0].up = False
     fleet.shards[0][0].up = True
     for number in range(20):
-        fleet.at(1.5 * number, fleet.ask, fleet_model.LETHAL)
+        fleet.schedule(1.5 * number, fleet.submit, fleet_model.POISON)
     fleet.run(60.0)
-    third_s = fleet.ends_s[2]
-    after = [each for each in fleet.lethal_reached_s if each > third_s + SPREAD_S]
-    assert len(after) <= MOST_AFTER
-    assert len(fleet.ends_s) <= 2 + MOST_AFTER
+    third_s = fleet.crashes_s[2]
+    late = [each for each in fleet.poison_reached_s if each > third_s + PROPAGATION_S]
+    assert len(late) <= MAX_LATE_ATTEMPTS
+    assert len(fleet.crashes_s) <= 2 + MAX_LATE_ATTEMPTS
--- a/tests/policy/test_warm_up.py
+++ b/tests/policy/test_warm_up.py
@@ -1,4 +1,4 @@
-"""What cold replicas get from all instances together."""
+"""Rate at which all instances together send to a cold replica."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from turmericlug.policy import warm_up
 
 OVERAGE, SLACK = 1.5, 5
-"""What replicas bear: this many times the stated rate, and so many requests more in a second."""
+"""Load that replicas tolerate: this multiple of the stated rate plus so many requests a second."""
 
 
-def arrivals(instances, rate_per_s, demand_per_s, seed, burst_at_s=1.0, cold_s=6.0):
-    """Play instances that know of each other and all want to send; returns the times of sends."""
+def simulate_arrivals(instances, rate_per_s, demand_per_s, seed, burst_at_s=1.0, cold_s=6.0):
+    """Simulate instances that all have requests to send; returns the times of the sends."""
     rng = random.Random(seed)
     shares = [
         warm_up.Share(rate_per_s, instances, warm_up.phase_of(f"e-{number}", f"i-{seed}"))
@@ -36,30 +36,30 @@
     return sent
 
 
-def most_in_a_second(sent):
+def max_per_second(sent):
     return max((sum(first <= each < first + 1 for each in sent) for first in sent), default=0)
 
 
 @pytest.mark.parametrize("instances", [2, 7, 87, 195])
 @pytest.mark.parametrize("rate_per_s", [1.0, 4.0, 20.0, 100.0])
 @pytest.mark.parametrize("seed", range(8))
-def test_replicas_that_return_together_under_a_peak_bear_what_they_get(instances, rate_per_s, seed):
-    """Every instance sent to each replica of a data centre that came back cold."""
-    sent = arrivals(instances, rate_per_s, demand_per_s=400.0, seed=seed)
-    assert most_in_a_second(sent) <= rate_per_s * OVERAGE + SLACK
+def test_cold_replicas_are_not_overloaded_at_peak(instances, rate_per_s, seed):
+    """Every instance sent to each replica of a data centre that had restarted cold."""
+    sent = simulate_arrivals(instances, rate_per_s, demand_per_s=400.0, seed=seed)
+    assert max_per_second(sent) <= rate_per_s * OVERAGE + SLACK
 
 
 @pytest.mark.parametrize("instances", [7, 87, 195])
 @pytest.mark.parametrize("seed", range(8))
-def test_a_burst_after_a_quiet_spell_does_not_arrive_at_once(instances, seed):
-    """What instances had not sent while it was quiet arrived at a cold replica in one second."""
-    sent = arrivals(instances, 8.0, 0.0, seed, burst_at_s=25.0, cold_s=30.0)
-    assert most_in_a_second(sent) <= 8.0 * OVERAGE + SLACK
+def test_unused_slots_of_an_idle_period_cause_no_burst(instances, seed):
+    """Sends that instances had saved up while idle arrived at a cold replica in one second."""
+    sent = simulate_arrivals(instances, 8.0, 0.0, seed, burst_at_s=25.0, cold_s=30.0)
+    assert max_per_second(sent) <= 8.0 * OVERAGE + SLACK
 
 
 @pytest.mark.parametrize(("instances", "rate_per_s"), [(2, 4.0), (7, 20.0), (87, 20.0)])
-def test_a_cold_replica_is_used(instances, rate_per_s):
-    sent = arrivals(instances, rate_per_s, demand_per_s=2000.0, seed=3)
+def test_a_cold_replica_receives_requests(instances, rate_per_s):
+    sent = simulate_arrivals(instances, rate_per_s, demand_per_s=2000.0, seed=3)
     assert len(sent) >= 6 * rate_per_s * 0.25
 
 
@@ -68,7 +68,7 @@
     [(warm_up.UNLIMITED, True), (warm_up.Share(5.0, senders=0), False)],
     ids=["no rate is stated", "not among the senders"],
 )
-def test_without_a_share(share, allowed):
+def test_unlimited_and_excluded_instances(share, allowed):
     assert share.allows(0.0, 0.0, 0.1) is allowed
 
 
@@ -79,9 +79,9 @@
     pauses_s=strategies.lists(strategies.floats(0, 3), min_size=2, max_size=60),
 )
 def test_unused_slots_are_lost(rate_per_s, senders, phase, pauses_s):
-    """Kept for later, what instances did not use arrived in one burst after a pause."""
+    """Slots that were saved for later led to a burst of requests after a pause."""
     share = warm_up.Share(rate_per_s, senders, phase)
-    period_s = senders / (warm_up.NOMINAL_SHARE * rate_per_s)
+    period_s = senders / (warm_up.RATE_UTILISATION * rate_per_s)
     now_s, last_s, sent = 10.0, float("-inf"), []
     for pause_s in pauses_s:
         now_s += pause_s
