--- a/src/turmericlug/direct/quarantine.py
+++ b/src/turmericlug/direct/quarantine.py
@@ -86,9 +86,9 @@
 
     def record_answer(self, call: sending.Call) -> None:
         """Record that a replica has run a request to completion."""
-        if call.vouched:
+        if call.is_answered:
             return
-        call.vouched = True
+        call.is_answered = True
         request = call.fingerprint
         if self.table.record_answer(request, self._now_s()):
             self._counters.add("poison.cleared")
@@ -105,7 +105,7 @@
         before the first crash was known.
         """
         now_s = self._now_s()
-        if not isinstance(outcome, sending.Unknown) or self.table.answered_recently(
+        if not isinstance(outcome, sending.Unknown) or self.table.is_answered(
             call.fingerprint, now_s
         ):
             return
--- a/src/turmericlug/direct/sending.py
+++ b/src/turmericlug/direct/sending.py
@@ -55,7 +55,7 @@
     repeats: int = 0
     fingerprint: bytes = b""
     """The same for each attempt at the same request, at every instance."""
-    vouched: bool = False
+    is_answered: bool = False
     """Whether it is known that a replica answered it."""
     on_trial: bool = False
     """Whether it goes to one replica only, to find out whether that ends under it."""
--- a/src/turmericlug/entry/relay.py
+++ b/src/turmericlug/entry/relay.py
@@ -159,7 +159,7 @@
             return self.attendance.find_missing(others, now_s)
         if self.place.name not in names:
             return []
-        if len(others) > 1 and not self.attendance.has_recent_contact(now_s, but=names[0]):
+        if len(others) > 1 and not self.attendance.has_recent_contact(now_s, excluding=names[0]):
             return []
         return self.attendance.find_missing(names[:1], now_s)
 
--- a/src/turmericlug/owner/service_queue.py
+++ b/src/turmericlug/owner/service_queue.py
@@ -105,9 +105,9 @@
         """Whether a part may go to a replica; ends it where replicas ended under its request."""
         held = self._suspects.check_start(part)
         if held == part_module.FAILED:
-            self._fail(part, suspects_module.WITHHELD)
+            self._fail(part, suspects_module.CRASHES_TARGETS)
         elif held:
-            self._give_up(part, suspects_module.WITHHELD)
+            self._give_up(part, suspects_module.CRASHES_TARGETS)
         return not held
 
     def _refuse(self, part: part_module.Part, reason: str, wait_ms: float = 0.0) -> None:
@@ -379,7 +379,7 @@
         if part.may_have_run and not part.repeatable:
             denied = "not_repeatable"
         elif self._suspects.is_withheld(part):
-            denied = suspects_module.WITHHELD
+            denied = suspects_module.CRASHES_TARGETS
         elif part.attempts > part.retries:
             denied = "used_up"
         elif time.monotonic() + _LEAST_TIME_S > part.deadline_s:
--- a/src/turmericlug/owner/suspects.py
+++ b/src/turmericlug/owner/suspects.py
@@ -18,7 +18,7 @@
 from turmericlug.telemetry import events
 from turmericlug.wire import suspects_codec
 
-WITHHELD = "ends_targets"
+CRASHES_TARGETS = "ends_targets"
 """Reason of a part that is not sent because its request crashes targets."""
 PROBE_TIMEOUT_S = 0.15
 """Longest wait for a target to refuse a connection: a round trip to the farthest region."""
--- a/src/turmericlug/policy/liveness.py
+++ b/src/turmericlug/policy/liveness.py
@@ -48,14 +48,14 @@
         missing = [name for name in known if now_s - self._last_contact_s[name] > SILENCE_TIMEOUT_S]
         return missing if len(missing) <= max(1, MAX_MISSING_SHARE * len(known)) else []
 
-    def has_recent_contact(self, now_s: float, but: str) -> bool:
+    def has_recent_contact(self, now_s: float, excluding: str) -> bool:
         """
         Whether any instance has been in contact within the silence timeout.
 
-        :param but: an instance that is left out
+        :param excluding: an instance that is left out
         """
         return any(
-            name != but and now_s - at_s <= SILENCE_TIMEOUT_S
+            name != excluding and now_s - at_s <= SILENCE_TIMEOUT_S
             for name, at_s in self._last_contact_s.items()
         )
 
--- a/src/turmericlug/policy/poison.py
+++ b/src/turmericlug/policy/poison.py
@@ -164,7 +164,7 @@
         record = self.records.get(request)
         return Verdict.ALLOWED if record is None else record.verdict(now_s)
 
-    def answered_recently(self, request: Fingerprint, now_s: float) -> bool:
+    def is_answered(self, request: Fingerprint, now_s: float) -> bool:
         """Whether the request was answered within the TTL of answers."""
         record = self.records.get(request)
         answered_s = max(
@@ -199,7 +199,7 @@
         :param on_trial: whether the request was sent to the replica as a trial
         :returns: the new verdict on the request
         """
-        if self.answered_recently(request, now_s):
+        if self.is_answered(request, now_s):
             return Verdict.ALLOWED
         record = self._record(request, now_s)
         record.expire(now_s)
--- a/tests/entry/test_relay.py
+++ b/tests/entry/test_relay.py
@@ -333,7 +333,7 @@
     request = attrs.evolve(question(), target=relay.PATH + target)
     answer = asyncio.run(tell(journal_with(replica("a", 11)), 0.5, heard)(request))
     assert answer.status == 404
-    assert not heard.has_recent_contact(0.0, but="")
+    assert not heard.has_recent_contact(0.0, excluding="")
 
 
 @pytest.mark.parametrize("data_centres", [[], ["beside"], ["beside", "far"]])
--- a/tests/owner/test_service_queue.py
+++ b/tests/owner/test_service_queue.py
@@ -294,7 +294,7 @@
     assert (len(targets.sent) <= poison.CRASHES_TO_SUSPECT + 1) is refuses
     if refuses:
         ended = [(reply.outcome, reply.reason) for reply in replies[-2:]]
-        assert ended == [("failed", suspects_module.WITHHELD)] * 2
+        assert ended == [("failed", suspects_module.CRASHES_TARGETS)] * 2
 
 
 def test_an_answered_request_is_cleared_and_goes_on():
--- a/tests/policy/test_liveness.py
+++ b/tests/policy/test_liveness.py
@@ -59,4 +59,4 @@
     liveness = liveness_module.PeerLiveness()
     for name, at_s in contacts.items():
         liveness.record_contact(name, at_s)
-    assert liveness.has_recent_contact(10.0, but="first") is recent
+    assert liveness.has_recent_contact(10.0, excluding="first") is recent
--- a/tests/policy/test_poison.py
+++ b/tests/policy/test_poison.py
@@ -249,7 +249,7 @@
     @stateful.invariant()
     def no_instance_that_knows_of_an_answer_withholds_the_request(self):
         for table in self.tables:
-            if table.answered_recently(b"a", self.now_s):
+            if table.is_answered(b"a", self.now_s):
                 assert table.verdict(b"a", self.now_s) is ALLOWED
             record = table.records.get(b"b")
             assert record is None or record.answered_s == -math.inf
