--- a/src/turmericlug/direct/quarantine.py
+++ b/src/turmericlug/direct/quarantine.py
@@ -101,8 +101,8 @@
         """
         Determine whether a replica crashed while it had a request that got no answer.
 
-        Awaited before the request is sent to another replica: otherwise it crashed that one as well
-        before the first crash was known.
+        Awaited before the request is sent to another replica: otherwise the request crashed that
+        one as well before the first crash was known.
         """
         now_s = self._now_s()
         if not isinstance(outcome, sending.Unknown) or self.table.is_answered(
--- a/src/turmericlug/entry/suspects.py
+++ b/src/turmericlug/entry/suspects.py
@@ -121,7 +121,7 @@
                 self.schedule(request)
 
     async def run_broadcast(self) -> None:
-        """Send the reports that are due, for ever."""
+        """Send reports as they fall due, until cancelled."""
         loop = asyncio.get_running_loop()
         async with tasks_module.background() as running:
             while True:
@@ -160,7 +160,7 @@
         return list(gossip.recipients(list(self._peers.all()), self._rng))
 
     async def run_sync(self) -> None:
-        """Query withheld requests after the start, then exchange them periodically, for ever."""
+        """Query withheld requests after the start, then exchange them until cancelled."""
         await self._initial_sync()
         while True:
             await asyncio.sleep(SYNC_INTERVAL_S * self._rng.uniform(0.75, 1.25))
--- a/src/turmericlug/owner/suspects.py
+++ b/src/turmericlug/owner/suspects.py
@@ -83,15 +83,15 @@
         """
         Record the outcome of an attempt.
 
-        Awaited before the part is sent to another target: otherwise it crashed that one as well
-        before the first crash was known.
+        Awaited before the part is sent to another target: otherwise the part crashed that one as
+        well before the first crash was known.
         """
         if isinstance(outcome, target_module.Answered):
             self.record_answer(part.fingerprint)
         elif outcome == target_module.CONNECTION_LOST:
             if await client.refuses(replica.address, PROBE_TIMEOUT_S):
-                start = f"{replica.instance}@{replica.generation}"
-                self.record_crash(part.fingerprint, start, part.on_trial)
+                process = f"{replica.instance}@{replica.generation}"
+                self.record_crash(part.fingerprint, process, part.on_trial)
         elif part.on_trial and isinstance(outcome, target_module.NotRun):
             self.table.cancel_trial(part.fingerprint, time.monotonic())
 
@@ -122,7 +122,7 @@
         Merge a report of another instance.
 
         :returns: the message to send back to that instance alone, with answers that it does not
-            know; none if there are none
+            know; ``None`` if there are none
         """
         now_s = time.monotonic()
         try:
--- a/src/turmericlug/policy/poison.py
+++ b/src/turmericlug/policy/poison.py
@@ -104,7 +104,7 @@
         for replica, at_s in other.crashes.items():
             self.crashes.setdefault(replica, at_s)
         # Sorted by name, not by time: times differ between instances by the transmission delay, so
-        # that each kept other crashes and they sent them to each other for ever.
+        # that each instance kept different crashes and reported them to the others without end.
         kept = sorted(each for each, at_s in self.crashes.items() if self._counts(at_s))[
             :MAX_CRASHES
         ]
--- a/tests/entry/test_suspects.py
+++ b/tests/entry/test_suspects.py
@@ -137,7 +137,7 @@
 def test_an_instance_that_was_cut_off_or_has_just_started_catches_up(monkeypatch):
     """
     One instance was cut off when the others were sent reports of a request, another one starts
-    later. Without the periodic exchange both would send the request to replicas.
+    later. Both would send the request to replicas.
     """
     monkeypatch.setattr(suspects, "SYNC_INTERVAL_S", 0.2)
 
