--- a/src/turmericlug/direct/handover.py
+++ b/src/turmericlug/direct/handover.py
@@ -317,7 +317,7 @@
     """
     outcome = await asyncio.shield(pending.outcomes[shard])
     if isinstance(outcome, sending.AnsweredInBatch):
-        sender.quarantine.answered(call)
+        sender.quarantine.record_answer(call)
     if outcome is None and pending.may_have_sent:
         peer_data_centre = pending.peer.entry.data_centre
         return await attempts.get_answer(
--- a/src/turmericlug/direct/sending.py
+++ b/src/turmericlug/direct/sending.py
@@ -55,7 +55,7 @@
     retries: int = 0
     fingerprint: bytes = b""
     """Identical for every attempt at the same request, on every instance."""
-    vouched: bool = False
+    is_answered: bool = False
     """Whether a replica is known to have answered the request."""
     on_trial: bool = False
     """Whether it is sent to a single replica, to find out whether it crashes that replica."""
--- a/src/turmericlug/direct/tracking.py
+++ b/src/turmericlug/direct/tracking.py
@@ -31,7 +31,7 @@
         send.ended_s = asyncio.get_running_loop().time()
     _record_outcome(sender, call, replica, outcome, send.began_s)
     try:
-        await sender.quarantine.settle(call, replica, outcome)
+        await sender.quarantine.record_outcome(call, replica, outcome)
     except asyncio.CancelledError:
         # The attempt has ended. Without its outcome, its awaiter would wait for the deadline.
         return outcome
@@ -48,7 +48,7 @@
     now_s = asyncio.get_running_loop().time()
     duration_ms = (now_s - began_s) * 1000
     if isinstance(outcome, sending.Answered | sending.Failed):
-        sender.quarantine.answered(call)
+        sender.quarantine.record_answer(call)
     if isinstance(outcome, sending.Answered):
         times = sender.replicas.latencies(call.route.name, replica.entry.data_centre)
         replica.record_success(duration_ms, times.median_ms, now_s)
--- a/src/turmericlug/direct/trial.py
+++ b/src/turmericlug/direct/trial.py
@@ -39,7 +39,7 @@
         return _untried_result(sender, call)
     shards = [each for each in call.route.shards if sender.replicas.of(each)]
     if not shards:
-        sender.quarantine.trial_not_run(call)
+        sender.quarantine.cancel_trial(call)
         return answering.refusal(sender, sending.CRASHES_REPLICAS)
     route = attrs.evolve(call.route, max_attempts=1)
     trial_call = attrs.evolve(call, route=route, on_trial=True, sends_by_service={}, sends=set())
@@ -70,7 +70,7 @@
     call.on_trial = True
     result = await answering.request_service(sender, call, service)
     if result.outcome == "refused":
-        sender.quarantine.trial_not_run(call)
+        sender.quarantine.cancel_trial(call)
     return _quarantine_failure(sender, call) or result
 
 
@@ -107,7 +107,7 @@
         case sending.Answered() | sending.Failed():
             return None
         case sending.NotRun():
-            sender.quarantine.trial_not_run(call)
+            sender.quarantine.cancel_trial(call)
             return _quarantine_failure(sender, call) or answering.refusal(
                 sender, sending.CRASHES_REPLICAS
             )
