--- a/src/turmericlug/entry/beliefs.py
+++ b/src/turmericlug/entry/beliefs.py
@@ -96,7 +96,7 @@
             request.hex(),
             record.verdict(now_s).value,
             {replica: round(now_s - at_s, 1) for replica, at_s in record.recent(now_s).items()},
-            view_module.told_age_s(now_s - record.quarantined_s),
+            view_module.rounded_age_s(now_s - record.quarantined_s),
         )
         for request, record in quarantine.book.held(now_s)
     ]
@@ -121,7 +121,7 @@
         "instance": name,
         "ready": ready,
         "configuration_version": _version(view),
-        "source_age_s": view_module.told_age_s(view.source_age_s()),
+        "source_age_s": view_module.rounded_age_s(view.source_age_s()),
         "instances": sorted(view.instances),
         "instances_counted": view.instances_count(),
         "replicas": {state: states.count(state) for state in sorted(set(states))},
@@ -144,7 +144,7 @@
     route = configuration.match(host, path) if configuration is not None else None
     plain = {
         "configuration_version": _version(view),
-        "source_age_s": view_module.told_age_s(view.source_age_s()),
+        "source_age_s": view_module.rounded_age_s(view.source_age_s()),
         "route": None,
     }
     if route is None:
--- a/src/turmericlug/entry/callers.py
+++ b/src/turmericlug/entry/callers.py
@@ -149,7 +149,7 @@
         some 30 ms before they can be served, and most of them come back once only.
         """
         left_s = self._began_s + FIRST_READING_S - asyncio.get_running_loop().time()
-        if left_s > 0 and not self.view.source_away:
+        if left_s > 0 and not self.view.source_unreachable:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(left_s):
                     await self._configured.wait()
@@ -197,7 +197,7 @@
             caller=caller_host,
             route=call.route.name,
             version=call.version,
-            source_age_s=view_module.told_age_s(self._source_age_s()),
+            source_age_s=view_module.rounded_age_s(self._source_age_s()),
             left_ms=round((call.deadline_s - loop.time()) * 1000),
             gone_ms=round((loop.time() - call.began_s) * 1000, 1),
         )
@@ -308,7 +308,7 @@
             "query.refused",
             request=request.header(self.sender.names.request_id),
             reason=reason,
-            source_age_s=view_module.told_age_s(self._source_age_s()),
+            source_age_s=view_module.rounded_age_s(self._source_age_s()),
         )
         return answering.refusal(self.sender, reason).answer
 
--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -25,17 +25,17 @@
 from turmericlug.direct import replicas as replicas_module
 from turmericlug.direct import routes
 from turmericlug.direct import sender as sender_module
-from turmericlug.entry import absence
 from turmericlug.entry import callers as callers_module
+from turmericlug.entry import deregistration
 from turmericlug.entry import directory as directory_module
 from turmericlug.entry import follower
 from turmericlug.entry import journal as journal_module
 from turmericlug.entry import live_settings
-from turmericlug.entry import news
-from turmericlug.entry import news_codec
 from turmericlug.entry import questions
 from turmericlug.entry import relay
+from turmericlug.entry import relay_codec
 from turmericlug.entry import settings as settings_module
+from turmericlug.entry import source as source_module
 from turmericlug.entry import stalls as stalls_module
 from turmericlug.entry import suspects
 from turmericlug.entry import view as view_module
@@ -76,9 +76,9 @@
     """What differs from one kind of deployment to the next."""
 
     names: dialect_module.Dialect
-    source: abc.Callable[[settings_module.Source, counters_module.Counters], news.Source]
+    source: abc.Callable[[settings_module.Source, counters_module.Counters], source_module.Source]
     resolve_handler: abc.Callable[[directory_module.Directory], messages.Handler]
-    decode: news_codec.Decode
+    decode: relay_codec.Decode
     ready_handler: abc.Callable[[abc.Callable[[], bool]], messages.Handler]
 
 
@@ -140,7 +140,7 @@
 
 
 @contextlib.asynccontextmanager
-async def _source(kernel: Kernel) -> abc.AsyncIterator[news.Source]:
+async def _source(kernel: Kernel) -> abc.AsyncIterator[source_module.Source]:
     settings, counters = kernel.find("settings"), kernel.find("counters")
     source = kernel.find("adapter").source(settings.source, counters)
     yield source
@@ -210,7 +210,7 @@
     rounds = 0
     while True:
         await asyncio.sleep(HOUSEKEEPING_S)
-        view.settle()
+        view.expire_held()
         rounds += 1
         if rounds % int(TRIM_EVERY_S / HOUSEKEEPING_S) == 0:
             for replica in view.replicas.all():
@@ -233,7 +233,7 @@
     journal = journal_module.Journal()
     kernel.provide("journal", journal)
     work = follower.follow(source, relayed.changes, view, journal, counters, random.Random())
-    missing = absence.take_out_missed(source, view, relayed, counters)
+    missing = deregistration.deregister_silent(source, view, relayed, counters)
     async with tasks.background(work, missing) as running:
         yield running
 
@@ -326,7 +326,7 @@
     entry = kernel.find("settings").entry
     host, port = entry.callers_address
     peers_host, peers_port = entry.peers_address
-    own = news.EntryInstance(
+    own = source_module.EntryInstance(
         entry.name,
         f"{host}:{port}",
         entry.data_centre,
@@ -338,7 +338,7 @@
         kernel.find("view"),
         own,
         lambda: questions.ready(kernel),
-        kernel.find("relayed").tells_others,
+        kernel.find("relayed").serves_peers,
         random.Random(),
     )
     async with tasks.background(work) as running:
--- a/src/turmericlug/entry/absence.py
+++ b/src/turmericlug/entry/deregistration.py
@@ -6,22 +6,22 @@
 import collections
 from collections import abc
 
-from turmericlug.entry import news
 from turmericlug.entry import relay
+from turmericlug.entry import source as source_module
 from turmericlug.entry import view as view_module
 from turmericlug.telemetry import counters as counters_module
 from turmericlug.telemetry import decisions
 
-LOOK_EVERY_S = 0.5
+CHECK_INTERVAL_S = 0.5
 """Adds to the 3 s of silence for which callers are told an instance that has ended."""
-MOST_AT_ONCE = 16
+MAX_BATCH = 16
 """Entries taken out by one call: half of what a source may have to take."""
-REMEMBERED = 256
+MAX_REMEMBERED = 256
 """Entries taken out lately: a copy from which the source returns is some seconds old."""
 
 
-async def take_out_missed(
-    source: news.Source,
+async def deregister_silent(
+    source: source_module.Source,
     view: view_module.View,
     relayed: relay.RelayedSource,
     counters: counters_module.Counters,
@@ -34,20 +34,20 @@
     a copy, is taken out again.
     """
     loop = asyncio.get_running_loop()
-    taken_out: collections.OrderedDict[str, news.Written] = collections.OrderedDict()
+    taken_out: collections.OrderedDict[str, source_module.Written] = collections.OrderedDict()
     while True:
-        await asyncio.sleep(LOOK_EVERY_S)
-        if view.source_away or view.source_age_s() > relay.STALE_S:
+        await asyncio.sleep(CHECK_INTERVAL_S)
+        if view.source_unreachable or view.source_age_s() > relay.MAX_AGE_S:
             # Cut off, or just awake: it is this instance that is missing.
             continue
-        missed = relayed.missed(loop.time())
-        entries = [*view.entries(missed), *_shown_again(view, taken_out)][:MOST_AT_ONCE]
+        missed = relayed.silent_instances(loop.time())
+        entries = [*view.entries(missed), *_reappeared(view, taken_out)][:MAX_BATCH]
         if not entries:
             continue
         names = [each.value.name for each in entries]
         try:
             removed = await source.remove(entries)
-        except (news.SourceError, news.LeaseEndedError) as error:
+        except (source_module.SourceError, source_module.LeaseEndedError) as error:
             decisions.log("instance.not_taken_out", names=names, reason=str(error))
             continue
         counters.add("instance.missed", len(entries) if removed else 0)
@@ -55,13 +55,13 @@
         for name, entry in zip(names, entries, strict=True):
             relayed.attendance.forget(name)
             taken_out[name] = entry
-            if len(taken_out) > REMEMBERED:
+            if len(taken_out) > MAX_REMEMBERED:
                 taken_out.popitem(last=False)
 
 
-def _shown_again(
-    view: view_module.View, taken_out: abc.Mapping[str, news.Written]
-) -> list[news.Written]:
+def _reappeared(
+    view: view_module.View, taken_out: abc.Mapping[str, source_module.Written]
+) -> list[source_module.Written]:
     """Return the entries that are shown in a later era as they were when they were taken out."""
     return [
         each
--- a/src/turmericlug/entry/differences.py
+++ b/src/turmericlug/entry/differences.py
@@ -4,45 +4,43 @@
 
 from collections import abc
 
-from turmericlug.entry import news
+from turmericlug.entry import source
 from turmericlug.telemetry import decisions
 
-Known = abc.Mapping[str, news.Written | news.Unreadable]
+Known = abc.Mapping[str, source.Written | source.Unreadable]
 """What the source was last heard to hold, by key."""
 
 
-def between(known: Known, snapshot: news.Snapshot) -> news.Changes:
+def between(known: Known, snapshot: source.Snapshot) -> source.Changes:
     """Return what a fresh reading tells that was not known, as changes."""
     present = {written.key for written in snapshot.written}
     written = [
         each
         for each in snapshot.written
-        if each.key not in known or _is_news(each, known[each.key])
+        if each.key not in known or _is_change(each, known[each.key])
     ]
     removed = [
-        news.Removed(key, snapshot.revision, snapshot.era) for key in known if key not in present
+        source.Removed(key, snapshot.revision, snapshot.era) for key in known if key not in present
     ]
     changes = sorted([*written, *removed], key=lambda each: each.position)
-    return news.Changes(tuple(changes), snapshot.revision, era=snapshot.era)
+    return source.Changes(tuple(changes), snapshot.revision, era=snapshot.era)
 
 
-def _is_news(
-    written: news.Written | news.Unreadable, known: news.Written | news.Unreadable
+def _is_change(
+    written: source.Written | source.Unreadable, known: source.Written | source.Unreadable
 ) -> bool:
     """Whether an entry is another one than is known; in a new era, most are just the same."""
     same = (written.revision, written.content) == (known.revision, known.content)
     return known.position < written.position and not same
 
 
-def tell_passed_over(known: Known, changes: abc.Iterable[news.Change], revision: int) -> None:
+def log_outdated(known: Known, changes: abc.Iterable[source.Change], revision: int) -> None:
     """
     Log what is told of no later position than what is known, as one line.
 
     :param revision: up to which the changes are told
     """
-    found = [
-        each for each in changes if each.key in known and _is_passed_over(each, known[each.key])
-    ]
+    found = [each for each in changes if each.key in known and _is_outdated(each, known[each.key])]
     if found:
         decisions.log(
             "view.passed_over",
@@ -54,7 +52,7 @@
         )
 
 
-def _is_passed_over(change: news.Change, known: news.Written | news.Unreadable) -> bool:
+def _is_outdated(change: source.Change, known: source.Written | source.Unreadable) -> bool:
     if change.position != known.position:
         return change.position < known.position
-    return isinstance(change, news.Removed) or change.content != known.content
+    return isinstance(change, source.Removed) or change.content != known.content
--- a/src/turmericlug/entry/directory.py
+++ b/src/turmericlug/entry/directory.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from turmericlug.entry import news
+from turmericlug.entry import source
 from turmericlug.entry import view as view_module
 
 LIFETIME_S = 2.0
@@ -15,7 +15,7 @@
 """With two addresses a caller whose instance fails has another one to go to."""
 MOST = 64
 
-Instances = list[news.EntryInstance]
+Instances = list[source.EntryInstance]
 
 
 @attrs.define
--- a/src/turmericlug/entry/relay.py
+++ b/src/turmericlug/entry/relay.py
@@ -20,8 +20,8 @@
 from turmericlug.direct import replica as replica_module
 from turmericlug.direct import replicas as replicas_module
 from turmericlug.entry import journal as journal_module
-from turmericlug.entry import news
-from turmericlug.entry import news_codec
+from turmericlug.entry import relay_codec
+from turmericlug.entry import source as source_module
 from turmericlug.http1 import client
 from turmericlug.http1 import messages
 from turmericlug.policy import attendance as attendance_module
@@ -32,18 +32,18 @@
 """``/news/ERA.REVISION/WAIT_MS/NAME``: what has changed since, asked by the instance named."""
 WAIT_S = 1.0
 """A relay that died is found out after it and the slack, well within 4 s."""
-SLACK_S = 0.4
-STALE_S = 1.6
+TIMEOUT_SLACK_S = 0.4
+MAX_AGE_S = 1.6
 """A relay hears from the source each second at the latest, by renewing its lease; a slow answer
 more is too long."""
-RELAYS = 2
+RELAY_COUNT = 2
 """With one alone, its end sent all others of its data centre to the source."""
-PASSED_OVER_S = 4.0
+SKIP_S = 4.0
 """Time for which a relay is not asked that failed twice in a row: its entry is gone by then."""
-FAILURES_TO_PASS_OVER = 2
+FAILURES_TO_SKIP = 2
 """One failure may be that of a connection that went silent; the next question opens another."""
-AGAIN_FIRST_S = 0.5
-AGAIN_MOST_S = 2.0
+BACKOFF_MIN_S = 0.5
+BACKOFF_MAX_S = 2.0
 """Pause of an instance between two questions to a source that did not answer it. Its relays ask
 more often, and tell at once when the source is back."""
 
@@ -66,21 +66,21 @@
             # Told as soon as they are too old: an instance that waited a second first, with news
             # that were a little younger than the limit, asked the source itself 3 s after the relay
             # lost it, when a configuration should have been in force.
-            fresh_s = max(STALE_S - source_age_s(), 0.0)
+            fresh_s = max(MAX_AGE_S - source_age_s(), 0.0)
             wait_s = min(WAIT_S, int(wait_ms) / 1000, fresh_s)
             changes = await journal.since(after, wait_s)
-        except news.HistoryLostError:
+        except source_module.HistoryLostError:
             changes = None
-        return messages.Answer(200, body=news_codec.encode(changes, source_age_s()))
+        return messages.Answer(200, body=relay_codec.encode(changes, source_age_s()))
 
     return handle
 
 
-def _position(text: bytes) -> news.Position | None:
+def _position(text: bytes) -> source_module.Position | None:
     era, _, revision = text.partition(b".")
     if not (era.isdigit() and revision.isdigit()):
         return None
-    return news.Position(int(era), int(revision))
+    return source_module.Position(int(era), int(revision))
 
 
 @attrs.define
@@ -96,20 +96,20 @@
 class RelayedSource:
     """A source that asks another instance for changes, where one does that for all."""
 
-    source: news.Source
-    decode: news_codec.Decode
+    source: source_module.Source
+    decode: relay_codec.Decode
     place: placement.Place
     peers: replicas_module.Replicas
     counters: counters_module.Counters
     attendance: attendance_module.Attendance
     rng: random.Random = attrs.field(factory=random.Random)
     _failures: dict[str, _Failures] = attrs.field(factory=dict)
-    _direct_from_s: float = 0.0
+    _source_retry_at_s: float = 0.0
     """From when the source may be asked directly again."""
-    _direct_failures: int = 0
-    _follows_directly: bool = True
+    _source_failures: int = 0
+    _uses_source: bool = True
 
-    async def changes(self, after: news.Position, wait_s: float) -> news.Changes:
+    async def changes(self, after: source_module.Position, wait_s: float) -> source_module.Changes:
         """
         Wait for changes, from a relay or the source.
 
@@ -119,9 +119,9 @@
         relays = self.relays()
         relay_wait_s = WAIT_S
         for relay in relays:
-            if self._is_passed_over(relay):
+            if self._is_skipped(relay):
                 continue
-            told = await self._told(relay, after, relay_wait_s)
+            told = await self._ask_relay(relay, after, relay_wait_s)
             if told is None:
                 # The wait for the next one would add to that for this one.
                 relay_wait_s = 0.0
@@ -129,13 +129,13 @@
             if told.lost:
                 # Only the source may know what came before the relay was started.
                 break
-            if told.changes.age_s < STALE_S and told.changes.era >= after.era:
+            if told.changes.age_s < MAX_AGE_S and told.changes.era >= after.era:
                 self.counters.add("relay.answered")
-                self._direct_failures = 0
-                self._follows_directly = False
+                self._source_failures = 0
+                self._uses_source = False
                 return told.changes
             self.counters.add("relay.stale")
-        return await self._direct(after, wait_s, has_relays=bool(relays))
+        return await self._ask_source(after, wait_s, has_relays=bool(relays))
 
     def relays(self) -> list[replica_module.Replica]:
         """Return the instances to ask, the first of them first; none where this is the first."""
@@ -145,7 +145,7 @@
         peers = {each.entry.instance: each for each in self.peers.of(self.place.data_centre)}
         return [peers[name] for name in names if name in peers]
 
-    def missed(self, now_s: float) -> list[str]:
+    def silent_instances(self, now_s: float) -> list[str]:
         """
         Return the instances that this one should hear from and does not.
 
@@ -163,63 +163,65 @@
             return []
         return self.attendance.silent(names[:1], now_s)
 
-    def tells_others(self) -> bool:
+    def serves_peers(self) -> bool:
         """Whether others rely on how lately this instance has heard from the source."""
-        return self._follows_directly and self.place.name in self._relay_names()
+        return self._uses_source and self.place.name in self._relay_names()
 
     def _relay_names(self) -> list[str]:
         peers = self.peers.of(self.place.data_centre)
         names = [self.place.name, *(each.entry.instance for each in peers)]
-        return placement.usual("news", names, RELAYS)
+        return placement.usual("news", names, RELAY_COUNT)
 
-    async def _direct(self, after: news.Position, wait_s: float, has_relays: bool) -> news.Changes:
+    async def _ask_source(
+        self, after: source_module.Position, wait_s: float, has_relays: bool
+    ) -> source_module.Changes:
         """Ask the source; not at once again when it has failed and relays ask it as well."""
         now_s = asyncio.get_running_loop().time()
-        self._follows_directly = True
-        if has_relays and now_s < self._direct_from_s:
-            raise news.SourceError("asked_lately")
+        self._uses_source = True
+        if has_relays and now_s < self._source_retry_at_s:
+            raise source_module.SourceError("asked_lately")
         try:
             changes = await self.source.changes(after, wait_s)
-        except news.SourceError:
-            pause_s = min(AGAIN_FIRST_S * 2**self._direct_failures, AGAIN_MOST_S)
-            self._direct_failures += 1
+        except source_module.SourceError:
+            pause_s = min(BACKOFF_MIN_S * 2**self._source_failures, BACKOFF_MAX_S)
+            self._source_failures += 1
             now_s = asyncio.get_running_loop().time()
-            self._direct_from_s = now_s + pause_s * self.rng.uniform(0.75, 1.25)
+            self._source_retry_at_s = now_s + pause_s * self.rng.uniform(0.75, 1.25)
             raise
-        self._direct_failures = 0
+        self._source_failures = 0
         return changes
 
-    def _is_passed_over(self, relay: replica_module.Replica) -> bool:
+    def _is_skipped(self, relay: replica_module.Replica) -> bool:
         failures = self._failures.get(relay.entry.instance)
         return failures is not None and asyncio.get_running_loop().time() < failures.until_s
 
-    async def _told(
-        self, relay: replica_module.Replica, after: news.Position, wait_s: float
-    ) -> news_codec.Told | None:
+    async def _ask_relay(
+        self, relay: replica_module.Replica, after: source_module.Position, wait_s: float
+    ) -> relay_codec.Reply | None:
         """Ask a relay; ``None`` when it gives no answer."""
         name = self.place.name.encode()
         target = b"%s%d.%d/%d/%s" % (PATH, after.era, after.revision, wait_s * 1000, name)
         request = client.request_bytes(b"GET", target, [(b"host", b"instance")], b"")
         try:
-            async with asyncio.timeout(wait_s + SLACK_S):
+            async with asyncio.timeout(wait_s + TIMEOUT_SLACK_S):
                 async with relay.pool.connection(0) as connection:
                     response = await connection.exchange(request)
             if response.status != 200:
-                return self._failed(relay, f"status_{response.status}")
-            told = news_codec.decode(response.body, self.decode)
-        except (client.ConnectError, client.ExchangeError, news_codec.MessageError) as error:
-            return self._failed(relay, str(error))
+                return self._record_failure(relay, f"status_{response.status}")
+            told = relay_codec.decode(response.body, self.decode)
+        except (client.ConnectError, client.ExchangeError, relay_codec.MessageError) as error:
+            return self._record_failure(relay, str(error))
         except TimeoutError:
-            return self._failed(relay, "silent")
+            return self._record_failure(relay, "silent")
         self._failures.pop(relay.entry.instance, None)
         self.attendance.heard(relay.entry.instance, asyncio.get_running_loop().time())
         return told
 
-    def _failed(self, relay: replica_module.Replica, reason: str) -> None:
+    def _record_failure(self, relay: replica_module.Replica, reason: str) -> None:
         name = relay.entry.instance
         failures = self._failures.setdefault(name, _Failures())
         failures.in_a_row += 1
-        if failures.in_a_row >= FAILURES_TO_PASS_OVER:
-            failures.until_s = asyncio.get_running_loop().time() + PASSED_OVER_S
+        if failures.in_a_row >= FAILURES_TO_SKIP:
+            failures.until_s = asyncio.get_running_loop().time() + SKIP_S
         self.counters.add("relay.failed")
         decisions.log("relay.failed", relay=name, reason=reason[:100], in_a_row=failures.in_a_row)
--- a/src/turmericlug/entry/recent.py
+++ b/src/turmericlug/entry/sliding_maximum.py
@@ -5,7 +5,7 @@
 import collections
 
 
-class RecentMaximum:
+class SlidingMaximum:
     """
     A maximum over a sliding window.
 
@@ -16,20 +16,20 @@
 
     def __init__(self, window_s: float) -> None:
         self._window_s = window_s
-        self._falling: collections.deque[tuple[float, int]] = collections.deque()
+        self._descending: collections.deque[tuple[float, int]] = collections.deque()
 
     def __len__(self) -> int:
         """Return how many values are held."""
-        return len(self._falling)
+        return len(self._descending)
 
-    def note(self, now_s: float, value: int) -> None:
+    def add(self, now_s: float, value: int) -> None:
         """Take note of a value."""
-        while self._falling and self._falling[-1][1] <= value:
-            self._falling.pop()
-        self._falling.append((now_s, value))
+        while self._descending and self._descending[-1][1] <= value:
+            self._descending.pop()
+        self._descending.append((now_s, value))
 
     def get(self, now_s: float) -> int:
         """Return the largest value noted within the window, 0 when there is none."""
-        while self._falling and self._falling[0][0] <= now_s - self._window_s:
-            self._falling.popleft()
-        return self._falling[0][1] if self._falling else 0
+        while self._descending and self._descending[0][0] <= now_s - self._window_s:
+            self._descending.popleft()
+        return self._descending[0][1] if self._descending else 0
--- a/src/turmericlug/entry/view.py
+++ b/src/turmericlug/entry/view.py
@@ -15,19 +15,19 @@
 from turmericlug.direct import replicas as replicas_module
 from turmericlug.direct import routes
 from turmericlug.entry import differences
-from turmericlug.entry import news
-from turmericlug.entry import recent
+from turmericlug.entry import sliding_maximum
+from turmericlug.entry import source
 from turmericlug.telemetry import decisions
 
 RETURN_HOLD_S = 2.2
 """Entries whose leases lapsed while the source was away are back within 2 s of its return."""
 MASS_REMOVAL_SHARE = 0.25
-MASS_REMOVAL_LEAST = 5
+MASS_REMOVAL_MIN = 5
 """So many entries gone at once are a lapse of leases that this instance has not noticed otherwise,
 not so many replicas that ended in the same moment."""
-STARTS_REMEMBERED = 4096
+MAX_REMEMBERED_STARTS = 4096
 """Starts of replicas that are gone: some minutes of a large deployment's, 100 bytes each."""
-INSTANCES_MEMORY_S = 15.0
+INSTANCE_COUNT_WINDOW_S = 15.0
 """An instance that is gone counts for this long among those that share connections and budgets: its
 connections and sends still do."""
 
@@ -46,7 +46,7 @@
         self.replicas = replicas
         self.peers = peers
         """The other instances, as replicas of a service that takes parts in their data centre."""
-        self.instances: dict[str, news.EntryInstance] = {}
+        self.instances: dict[str, source.EntryInstance] = {}
         self.own_entry_removed = False
         self.on_instances: abc.Callable[[], None] = lambda: None
         """Called when an instance has come or gone."""
@@ -54,16 +54,16 @@
         """Called when a new configuration is in force."""
         self._own_name = own_name
         self._now_s = now_s
-        self._keys: dict[str, news.Written | news.Unreadable] = {}
+        self._known: dict[str, source.Written | source.Unreadable] = {}
         self._held: dict[str, float] = {}
         """When entries vanished that may come back, by key."""
-        self._away_since_s: float | None = None
-        self._returned_s = float("-inf")
+        self._unreachable_since_s: float | None = None
+        self._recovered_s = float("-inf")
         self.era = 0
         """Of the source, as of the latest news; 0: none was told yet."""
         self._era_changed_s = float("-inf")
-        self._heard_s = float("-inf")
-        self._counts = recent.RecentMaximum(INSTANCES_MEMORY_S)
+        self._last_answer_s = float("-inf")
+        self._instance_counts = sliding_maximum.SlidingMaximum(INSTANCE_COUNT_WINDOW_S)
         self._born_ms: collections.OrderedDict[str, int] = collections.OrderedDict()
         """The latest start of replicas that are gone, by key."""
 
@@ -73,14 +73,14 @@
         return self.configuration is not None
 
     @property
-    def source_away(self) -> bool:
+    def source_unreachable(self) -> bool:
         """Whether the source did not answer when it was last asked."""
-        return self._away_since_s is not None
+        return self._unreachable_since_s is not None
 
     def source_lost(self, reason: str) -> None:
         """Take note that the source does not answer."""
-        if self._away_since_s is None:
-            self._away_since_s = self._now_s()
+        if self._unreachable_since_s is None:
+            self._unreachable_since_s = self._now_s()
             decisions.log("source.lost", reason=reason)
 
     def source_regained(self, age_s: float = 0.0) -> None:
@@ -89,77 +89,77 @@
 
         :param age_s: how long ago it did, where another instance has passed its answer on
         """
-        self._heard_s = max(self._heard_s, self._now_s() - age_s)
-        if self._away_since_s is None:
+        self._last_answer_s = max(self._last_answer_s, self._now_s() - age_s)
+        if self._unreachable_since_s is None:
             return
         now_s = self._now_s()
-        decisions.log("source.regained", away_ms=round((now_s - self._away_since_s) * 1000))
-        self._away_since_s = None
-        self._returned_s = now_s
+        decisions.log("source.regained", away_ms=round((now_s - self._unreachable_since_s) * 1000))
+        self._unreachable_since_s = None
+        self._recovered_s = now_s
 
     def source_age_s(self) -> float:
         """Return how old the last answer of the source is."""
-        return self._now_s() - self._heard_s
+        return self._now_s() - self._last_answer_s
 
     def instances_count(self) -> int:
         """Return how many instances share connections and budgets, the largest of late."""
-        return max(len(self.instances), 1, self._counts.get(self._now_s()))
+        return max(len(self.instances), 1, self._instance_counts.get(self._now_s()))
 
-    def entries(self, names: abc.Collection[str]) -> list[news.Written]:
+    def entries(self, names: abc.Collection[str]) -> list[source.Written]:
         """Return the entries of some instances, as the source has them."""
         return [
             each
-            for each in self._keys.values()
-            if isinstance(each, news.Written)
-            and isinstance(each.value, news.EntryInstance)
+            for each in self._known.values()
+            if isinstance(each, source.Written)
+            and isinstance(each.value, source.EntryInstance)
             and each.value.name in names
         ]
 
-    def lease_of(self, instance: news.EntryInstance) -> int | None:
+    def lease_of(self, instance: source.EntryInstance) -> int | None:
         """Return the lease under which just this entry stands, if the source has told."""
         for each in self.entries([instance.name]):
             if each.value == instance and each.lease:
                 return each.lease
         return None
 
-    def news_in(self, snapshot: news.Snapshot) -> news.Changes:
+    def changes_in(self, snapshot: source.Snapshot) -> source.Changes:
         """Return what a fresh reading tells that was not known, as changes."""
-        return differences.between(self._keys, snapshot)
+        return differences.between(self._known, snapshot)
 
-    def _note_count(self) -> None:
-        self._counts.note(self._now_s(), len(self.instances))
+    def _record_count(self) -> None:
+        self._instance_counts.add(self._now_s(), len(self.instances))
 
-    def take_snapshot(self, snapshot: news.Snapshot) -> None:
+    def take_snapshot(self, snapshot: source.Snapshot) -> None:
         """Take over a whole reading: what is missing in it has been removed."""
-        self._enter(snapshot.era)
+        self._update_era(snapshot.era)
         present = {written.key for written in snapshot.written}
-        missing = [key for key in self._keys if key not in present]
-        differences.tell_passed_over(self._keys, snapshot.written, snapshot.revision)
+        missing = [key for key in self._known if key not in present]
+        differences.log_outdated(self._known, snapshot.written, snapshot.revision)
         for written in snapshot.written:
-            self._write(written)
-        self._remove([key for key in missing if key not in self._held], snapshot.revision)
+            self._apply(written)
+        self._handle_removed([key for key in missing if key not in self._held], snapshot.revision)
 
-    def take_changes(self, changes: news.Changes) -> None:
+    def take_changes(self, changes: source.Changes) -> None:
         """Take over what has changed, in order."""
         removed = []
-        self._enter(changes.era)
-        differences.tell_passed_over(self._keys, changes.changes, changes.revision)
+        self._update_era(changes.era)
+        differences.log_outdated(self._known, changes.changes, changes.revision)
         for change in changes.changes:
-            if isinstance(change, news.Removed):
-                if self._is_newer(change):
+            if isinstance(change, source.Removed):
+                if self._is_newer_removal(change):
                     removed.append(change.key)
                 continue
             if change.key in removed:
                 removed.remove(change.key)
-            self._write(change)
-        self._remove(removed, changes.revision)
+            self._apply(change)
+        self._handle_removed(removed, changes.revision)
 
-    def _is_newer(self, removed: news.Removed) -> bool:
+    def _is_newer_removal(self, removed: source.Removed) -> bool:
         """Whether a removal is not of an entry that has been written again since."""
-        known = self._keys.get(removed.key)
+        known = self._known.get(removed.key)
         return known is not None and removed.position > known.position
 
-    def _enter(self, era: int) -> None:
+    def _update_era(self, era: int) -> None:
         """
         Take note of the era that news are of.
 
@@ -167,27 +167,27 @@
         and the replicas write it again.
         """
         if 0 < self.era < era:
-            self._era_changed_s = self._returned_s = self._now_s()
+            self._era_changed_s = self._recovered_s = self._now_s()
             decisions.log("view.era", era=era, before=self.era)
         self.era = max(self.era, era)
 
-    def _write(self, written: news.Written | news.Unreadable) -> None:
-        known = self._keys.get(written.key)
-        if self._is_of_older_start(written, known):
+    def _apply(self, written: source.Written | source.Unreadable) -> None:
+        known = self._known.get(written.key)
+        if self._is_from_older_start(written, known):
             return
         if known is not None and known.position >= written.position:
             written = known
-        if isinstance(written, news.Unreadable):
-            self._spoil(written)
+        if isinstance(written, source.Unreadable):
+            self._mark_unreadable(written)
             return
-        self._keys[written.key] = written
+        self._known[written.key] = written
         self._held.pop(written.key, None)
-        self._restore(written)
+        self._activate(written)
 
-    def _is_of_older_start(
+    def _is_from_older_start(
         self,
-        written: news.Written | news.Unreadable,
-        known: news.Written | news.Unreadable | None,
+        written: source.Written | source.Unreadable,
+        known: source.Written | source.Unreadable | None,
     ) -> bool:
         """
         Whether an entry tells of a start of its replica before the one that is known.
@@ -199,31 +199,31 @@
         newest_ms = _born_ms(known) if _is_replica(known) else self._born_ms.get(written.key)
         return born_ms is not None and newest_ms is not None and born_ms < newest_ms
 
-    def _spoil(self, unreadable: news.Unreadable) -> None:
+    def _mark_unreadable(self, unreadable: source.Unreadable) -> None:
         """
         Use nothing any more that a key named until its value became unreadable.
 
         But the configuration: the last that could be read stays in force.
         """
-        known = self._keys.get(unreadable.key)
-        if isinstance(known, news.Written):
+        known = self._known.get(unreadable.key)
+        if isinstance(known, source.Written):
             if isinstance(known.value, routes.Configuration):
                 return
             if self._is_own(known):
                 self.own_entry_removed = True
                 return
-            self._forget(unreadable.key, unreadable.revision)
-        self._keys[unreadable.key] = unreadable
+            self._delete(unreadable.key, unreadable.revision)
+        self._known[unreadable.key] = unreadable
         self._held.pop(unreadable.key, None)
 
-    def _is_own(self, written: news.Written) -> bool:
+    def _is_own(self, written: source.Written) -> bool:
         value = written.value
-        return isinstance(value, news.EntryInstance) and value.name == self._own_name
+        return isinstance(value, source.EntryInstance) and value.name == self._own_name
 
-    def _restore(self, written: news.Written) -> None:
+    def _activate(self, written: source.Written) -> None:
         match written.value:
             case routes.Configuration():
-                self._configure(written.value, written.revision)
+                self._apply_configuration(written.value, written.revision)
             case routes.ReplicaEntry():
                 if self.replicas.put(written.value, self._now_s()):
                     entry = written.value
@@ -234,7 +234,7 @@
                         draining=entry.draining,
                         revision=written.revision,
                     )
-            case news.EntryInstance():
+            case source.EntryInstance():
                 if self.instances.get(written.value.name) != written.value:
                     decisions.log(
                         "view.instance", name=written.value.name, revision=written.revision
@@ -243,8 +243,8 @@
                 if written.value.name != self._own_name:
                     self.peers.put(_as_replica(written.value))
                     self.on_instances()
-                self._note_count()
-            case news.Evacuation():
+                self._record_count()
+            case source.Evacuation():
                 self._evacuate(written.value.data_centre, written.revision)
 
     def _evacuate(self, data_centre: str, revision: int) -> None:
@@ -258,7 +258,7 @@
             revision=revision,
         )
 
-    def _configure(self, configuration: routes.Configuration, revision: int) -> None:
+    def _apply_configuration(self, configuration: routes.Configuration, revision: int) -> None:
         current = self.configuration
         if current is not None and configuration.version <= current.version:
             # A reading that was on its way while a newer version arrived must not bring back the
@@ -274,39 +274,39 @@
         )
         self.on_configuration()
 
-    def _remove(self, keys: list[str], revision: int) -> None:
+    def _handle_removed(self, keys: list[str], revision: int) -> None:
         if not keys:
             return
         now_s = self._now_s()
-        hold = self._away_since_s is not None or now_s - self._returned_s < RETURN_HOLD_S
+        hold = self._unreachable_since_s is not None or now_s - self._recovered_s < RETURN_HOLD_S
         lost = now_s - self._era_changed_s < RETURN_HOLD_S
-        kept = sum(map(_is_replica, self._keys.values()))
-        if len(keys) >= max(MASS_REMOVAL_LEAST, MASS_REMOVAL_SHARE * kept):
+        kept = sum(map(_is_replica, self._known.values()))
+        if len(keys) >= max(MASS_REMOVAL_MIN, MASS_REMOVAL_SHARE * kept):
             hold = True
         for key in keys:
-            written = self._keys.get(key)
+            written = self._known.get(key)
             if written is None:
                 continue
-            if isinstance(written, news.Unreadable):
-                del self._keys[key]
+            if isinstance(written, source.Unreadable):
+                del self._known[key]
                 continue
             if self._is_own(written):
                 # Not known any more, lest its lease be taken for that of an entry that stands.
-                del self._keys[key]
+                del self._known[key]
                 self.own_entry_removed = True
                 continue
-            if lost or hold and not isinstance(written.value, news.Evacuation):
+            if lost or hold and not isinstance(written.value, source.Evacuation):
                 self._hold(key, written, revision)
             else:
-                self._forget(key, revision)
+                self._delete(key, revision)
 
-    def _hold(self, key: str, written: news.Written, revision: int) -> None:
+    def _hold(self, key: str, written: source.Written, revision: int) -> None:
         self._held[key] = self._now_s()
         if isinstance(written.value, routes.ReplicaEntry):
             decisions.log("view.replica_held", replica=written.value.instance, revision=revision)
 
-    def _forget(self, key: str, revision: int) -> None:
-        written = self._keys.pop(key)
+    def _delete(self, key: str, revision: int) -> None:
+        written = self._known.pop(key)
         self._held.pop(key, None)
         match written.value:
             case routes.ReplicaEntry():
@@ -315,14 +315,14 @@
                 decisions.log(
                     "view.replica_gone", replica=written.value.instance, revision=revision
                 )
-            case news.EntryInstance():
+            case source.EntryInstance():
                 # Before it goes: the memory is of how many there were until now.
-                self._note_count()
+                self._record_count()
                 self.instances.pop(written.value.name, None)
                 self.peers.remove(written.value.name)
                 self.on_instances()
                 decisions.log("view.instance_gone", name=written.value.name, revision=revision)
-            case news.Evacuation():
+            case source.Evacuation():
                 data_centre = written.value.data_centre
                 age_s = self.replicas.end_evacuation(data_centre, self._now_s())
                 decisions.log(
@@ -337,44 +337,44 @@
             return
         self._born_ms[key] = entry.born_ms
         self._born_ms.move_to_end(key)
-        if len(self._born_ms) > STARTS_REMEMBERED:
+        if len(self._born_ms) > MAX_REMEMBERED_STARTS:
             self._born_ms.popitem(last=False)
 
-    def settle(self) -> None:
+    def expire_held(self) -> None:
         """
         Take for gone what had its time to come back while the source was there.
 
         The time counts from the source's return, not from the lapse: entries lapse early in an
         outage, and would be taken for gone in the moment in which they are written again.
         """
-        if self._away_since_s is not None:
+        if self._unreachable_since_s is not None:
             return
         now_s = self._now_s()
         due = [
             key
             for key, gone_s in self._held.items()
-            if now_s >= max(gone_s, self._returned_s) + RETURN_HOLD_S
+            if now_s >= max(gone_s, self._recovered_s) + RETURN_HOLD_S
         ]
         for key in due:
-            self._forget(key, self._keys[key].revision)
+            self._delete(key, self._known[key].revision)
 
 
-def _is_replica(written: news.Written | news.Unreadable | None) -> bool:
-    return isinstance(written, news.Written) and isinstance(written.value, routes.ReplicaEntry)
+def _is_replica(written: source.Written | source.Unreadable | None) -> bool:
+    return isinstance(written, source.Written) and isinstance(written.value, routes.ReplicaEntry)
 
 
-def _born_ms(written: news.Written | news.Unreadable | None) -> int | None:
-    if isinstance(written, news.Written) and isinstance(written.value, routes.ReplicaEntry):
+def _born_ms(written: source.Written | source.Unreadable | None) -> int | None:
+    if isinstance(written, source.Written) and isinstance(written.value, routes.ReplicaEntry):
         return written.value.born_ms
     return None
 
 
-def told_age_s(age_s: float) -> float | None:
+def rounded_age_s(age_s: float) -> float | None:
     """Return an age as it is told in logs and answers, ``None`` where nothing was heard yet."""
     return round(age_s, 3) if math.isfinite(age_s) else None
 
 
-def _as_replica(instance: news.EntryInstance) -> routes.ReplicaEntry:
+def _as_replica(instance: source.EntryInstance) -> routes.ReplicaEntry:
     host, _, port = instance.peers_address.rpartition(":")
     return routes.ReplicaEntry(
         instance=instance.name,
--- a/src/turmericlug/platform/decode.py
+++ b/src/turmericlug/platform/decode.py
@@ -14,7 +14,7 @@
 import typing
 
 from turmericlug.direct import routes
-from turmericlug.entry import news
+from turmericlug.entry import source
 from turmericlug.http1 import messages
 from turmericlug.platform import fields
 from turmericlug.platform import names
@@ -33,7 +33,9 @@
 Plain = dict[str, typing.Any]
 
 
-def change(key: str, content: bytes | str, revision: int) -> news.Written | news.Unreadable | None:
+def change(
+    key: str, content: bytes | str, revision: int
+) -> source.Written | source.Unreadable | None:
     """
     Return what a key's new value says; ``None`` for keys that nothing here reads.
 
@@ -46,18 +48,18 @@
         found = value(key, plain, ignored)
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
         reason = f"{type(error).__name__}: {error}"[:_REASON_LENGTH]
-        return news.Unreadable(key, revision, reason, plain)
+        return source.Unreadable(key, revision, reason, plain)
     if found is None:
         return None
     told = tuple(each[:_REASON_LENGTH] for each in ignored[:_MOST_IGNORED])
-    return news.Written(key, found, revision, plain, ignored=told)
+    return source.Written(key, found, revision, plain, ignored=told)
 
 
 def _is_text(content: bytes | str) -> typing.TypeGuard[str]:
     return isinstance(content, str)
 
 
-def value(key: str, content: bytes, ignored: list[str]) -> news.Value | None:
+def value(key: str, content: bytes, ignored: list[str]) -> source.Value | None:
     """
     Return what a key's value says; ``None`` for keys that nothing here reads.
 
@@ -68,7 +70,7 @@
         return configuration(json.loads(content), ignored)
     if key.startswith(names.EVACUATIONS_PREFIX):
         # That the key is there says all: what its value holds does not matter.
-        return news.Evacuation(key.removeprefix(names.EVACUATIONS_PREFIX))
+        return source.Evacuation(key.removeprefix(names.EVACUATIONS_PREFIX))
     if key.startswith(names.REPLICAS_PREFIX):
         return _replica(key.removeprefix(names.REPLICAS_PREFIX), json.loads(content))
     if key.startswith(names.INSTANCES_PREFIX):
@@ -214,11 +216,11 @@
     return host, int(port)
 
 
-def _instance(name: str, item: Plain) -> news.EntryInstance:
+def _instance(name: str, item: Plain) -> source.EntryInstance:
     _address(item["address"])
     if item["peers_address"] != "":
         _address(item["peers_address"])
-    return news.EntryInstance(
+    return source.EntryInstance(
         name,
         item["address"],
         _text(item["data_centre"]),
@@ -227,7 +229,7 @@
     )
 
 
-def instance_value(instance: news.EntryInstance) -> bytes:
+def instance_value(instance: source.EntryInstance) -> bytes:
     """Encode an entry instance's own key, in this project's names."""
     plain = {
         "address": instance.address,
--- a/src/turmericlug/platform/store.py
+++ b/src/turmericlug/platform/store.py
@@ -17,7 +17,7 @@
 
 import attrs
 
-from turmericlug.entry import news
+from turmericlug.entry import source
 from turmericlug.http1 import client
 from turmericlug.platform import decode
 from turmericlug.platform import names
@@ -75,7 +75,7 @@
         self.era = 0
         """The latest that an answer was of; 0: none told one."""
 
-    async def read_all(self, may_be_stale: bool) -> news.Snapshot:
+    async def read_all(self, may_be_stale: bool) -> source.Snapshot:
         """
         Read every key, page by page; changes since the oldest page are followed from there.
 
@@ -95,25 +95,25 @@
         ]
         return attrs.evolve(snapshot, written=(*others, *operators.written))
 
-    async def _read(self, prefix: str, may_be_stale: bool) -> news.Snapshot:
-        written: list[news.Written | news.Unreadable] = []
-        positions: set[news.Position] = set()
+    async def _read(self, prefix: str, may_be_stale: bool) -> source.Snapshot:
+        written: list[source.Written | source.Unreadable] = []
+        positions: set[source.Position] = set()
         query = {"Prefix": prefix} | ({"Serializable": "1"} if may_be_stale else {})
         while True:
             answer = await self._get("kv-range", query)
             page = answer.body
-            positions.add(news.Position(answer.era, page["AsOf"]))
+            positions.add(source.Position(answer.era, page["AsOf"]))
             if len({each.era for each in positions}) > 1:
-                raise news.SourceError("returned_from_copy")
+                raise source.SourceError("returned_from_copy")
             for item in page["items"]:
                 query["after"] = item["Key"]
                 change = _written(item, answer.era)
                 if change is not None:
                     written.append(change)
             if not page.get("HasMore"):
-                return news.Snapshot(tuple(written), min(positions).revision, answer.era)
+                return source.Snapshot(tuple(written), min(positions).revision, answer.era)
 
-    async def changes(self, after: news.Position, wait_s: float) -> news.Changes:
+    async def changes(self, after: source.Position, wait_s: float) -> source.Changes:
         """
         Wait for changes.
 
@@ -122,7 +122,7 @@
         :raises SourceError: no answer
         """
         if after.era < self.era:
-            raise news.HistoryLostError
+            raise source.HistoryLostError
         if self._watch.was_lost:
             # The store may have been away. Its era comes with the answer, which is not waited for.
             wait_s = 0.0
@@ -130,22 +130,22 @@
         try:
             answer = await self._get("kv-watch", query, self._watch, wait_s + WATCH_SLACK_S)
             self._watch.failed = False
-        except news.SourceError:
+        except source.SourceError:
             self._watch.failed = True
             if self.era != after.era:
-                raise news.HistoryLostError from None
+                raise source.HistoryLostError from None
             raise
         if answer.era != after.era:
-            raise news.HistoryLostError
-        changes: list[news.Change] = []
+            raise source.HistoryLostError
+        changes: list[source.Change] = []
         for event in answer.body["events"]:
             if event.get("Tombstone"):
-                changes.append(news.Removed(event["Key"], event["Revision"], answer.era))
+                changes.append(source.Removed(event["Key"], event["Revision"], answer.era))
                 continue
             change = _written(event, answer.era)
             if change is not None:
                 changes.append(change)
-        return news.Changes(tuple(changes), answer.body["AsOf"], era=answer.era)
+        return source.Changes(tuple(changes), answer.body["AsOf"], era=answer.era)
 
     async def lease(self, ttl_s: float) -> int:
         """Open a lease."""
@@ -164,7 +164,7 @@
         """End a lease."""
         await self._call(b"DELETE", f"kv-lease-end/{lease}", None)
 
-    async def register(self, instance: news.EntryInstance, lease: int) -> None:
+    async def register(self, instance: source.EntryInstance, lease: int) -> None:
         """
         Write an instance's entry under its lease.
 
@@ -174,7 +174,7 @@
         put = {"Key": names.INSTANCES_PREFIX + instance.name, "Value": value, "Lease": lease}
         await self._call(b"POST", "kv-txn", {"ExpectedRev": [], "Puts": [put], "Remove": []})
 
-    async def remove(self, written: abc.Sequence[news.Written]) -> bool:
+    async def remove(self, written: abc.Sequence[source.Written]) -> bool:
         """
         Remove keys, all or none.
 
@@ -182,7 +182,7 @@
         :raises SourceError: no answer, or too many keys for one call
         """
         if len(written) > MOST_KEYS:
-            raise news.SourceError("too_many_keys")
+            raise source.SourceError("too_many_keys")
         body = {
             "ExpectedRev": [{"Key": each.key, "Revision": each.revision} for each in written],
             "Puts": [],
@@ -221,12 +221,12 @@
         if response.status == 200:
             return _Answer(era, _parsed(response.body))
         if response.status == 410:
-            raise news.HistoryLostError
+            raise source.HistoryLostError
         if response.status == 404:
-            raise news.LeaseEndedError
+            raise source.LeaseEndedError
         if response.status == 412:
             raise _ChangedError
-        raise news.SourceError(_REASONS.get(response.status, f"status_{response.status}"))
+        raise source.SourceError(_REASONS.get(response.status, f"status_{response.status}"))
 
     def _era_of(self, response: client.Response) -> int:
         """
@@ -239,7 +239,7 @@
             return self.era
         era = int(told)
         if era < self.era:
-            raise news.SourceError("older_era")
+            raise source.SourceError("older_era")
         if era > self.era:
             if self.era:
                 self._counters.add("source.returned_from_copy")
@@ -266,12 +266,12 @@
                 return await lane.connection.exchange(request)
         except TimeoutError:
             self._drop(lane)
-            raise news.SourceError("timeout") from None
+            raise source.SourceError("timeout") from None
         except client.ConnectError:
-            raise news.SourceError("unreachable") from None
+            raise source.SourceError("unreachable") from None
         except client.ExchangeError:
             self._drop(lane)
-            raise news.SourceError("cut") from None
+            raise source.SourceError("cut") from None
 
     def _drop(self, lane: _Lane) -> None:
         if lane.connection is not None:
@@ -284,9 +284,9 @@
         self._drop(self._watch)
 
 
-def _written(item: dict[str, typing.Any], era: int) -> news.Written | news.Unreadable | None:
+def _written(item: dict[str, typing.Any], era: int) -> source.Written | source.Unreadable | None:
     change = decode.change(item["Key"], item["Value"], item["Revision"])
-    if isinstance(change, news.Written):
+    if isinstance(change, source.Written):
         return attrs.evolve(change, lease=item.get("Lease") or 0, era=era)
     return change and attrs.evolve(change, era=era)
 
@@ -295,4 +295,4 @@
     try:
         return json.loads(body) if body else {}
     except ValueError:
-        raise news.SourceError("unreadable") from None
+        raise source.SourceError("unreadable") from None
--- a/tests/entry/test_beliefs.py
+++ b/tests/entry/test_beliefs.py
@@ -14,7 +14,7 @@
 from turmericlug.direct import replicas as replicas_module
 from turmericlug.direct import routes
 from turmericlug.entry import beliefs
-from turmericlug.entry import news
+from turmericlug.entry import source
 from turmericlug.entry import view as view_module
 from turmericlug.http1 import messages
 from turmericlug.telemetry import counters
@@ -32,7 +32,7 @@
 
 
 def written(key, value):
-    return news.Written(key, value, 1)
+    return source.Written(key, value, 1)
 
 
 def ask(target, snapshot=(), method=b"GET", held=()):
@@ -47,7 +47,7 @@
         view = view_module.View("e-1", replicas, peers, loop.time)
         if snapshot:
             view.source_regained()
-            view.take_snapshot(news.Snapshot(tuple(snapshot), 1))
+            view.take_snapshot(source.Snapshot(tuple(snapshot), 1))
             replicas.of("x")[1].ejected_until_s = loop.time() + 60
         quarantine = quarantine_module.Quarantine(counters.Counters(), loop.time)
         for number, request in enumerate(held):
@@ -65,7 +65,7 @@
     written("r/x1", scripted.entry("x1", "x")),
     written("r/x2", scripted.entry("x2", "x")),
     written("r/y1", scripted.entry("y1", "y", draining=True)),
-    written("e/e-2", news.EntryInstance("e-2", "h:1", "dc", "r", "h:2")),
+    written("e/e-2", source.EntryInstance("e-2", "h:1", "dc", "r", "h:2")),
 ]
 
 
@@ -79,7 +79,7 @@
 
 def test_status_tells_what_is_evacuated_and_what_is_cold():
     cold = attrs.evolve(scripted.entry("x1", "x"), warmup_left_ms=60_000.0)
-    evacuated = news.Written("v/dc-2", news.Evacuation("dc-2"), 1)
+    evacuated = source.Written("v/dc-2", source.Evacuation("dc-2"), 1)
     _, told = ask(b"/status", [written("r/x1", cold), *SNAPSHOT[2:], evacuated])
     assert told["evacuated_age_s"].keys() == {"dc-2"}
     assert told["cold_left_s"].keys() == {"x1"}
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -12,7 +12,7 @@
 from turmericlug.direct import answering
 from turmericlug.direct import routes
 from turmericlug.entry import callers as callers_module
-from turmericlug.entry import news
+from turmericlug.entry import source
 from turmericlug.entry import view as view_module
 from turmericlug.http1 import messages
 from turmericlug.policy import slow_start
@@ -266,8 +266,8 @@
                 "r", "h.example", "/x/", True, 2000, 100, 1, 2, (routes.Share("s", 1.0),)
             )
             configuration = routes.Configuration(3, (route,), {}, messages.Limits())
-            written = news.Written("config", configuration, 1)
-            view.take_snapshot(news.Snapshot((written,), 1))
+            written = source.Written("config", configuration, 1)
+            view.take_snapshot(source.Snapshot((written,), 1))
         return await asked
 
     assert asyncio.run(main()).status == status
--- a/tests/entry/test_absence.py
+++ b/tests/entry/test_deregistration.py
@@ -11,9 +11,9 @@
 from turmericlug.direct import budget
 from turmericlug.direct import pool as pool_module
 from turmericlug.direct import replicas as replicas_module
-from turmericlug.entry import absence
-from turmericlug.entry import news
+from turmericlug.entry import deregistration
 from turmericlug.entry import relay
+from turmericlug.entry import source as source_module
 from turmericlug.entry import view as view_module
 from turmericlug.policy import attendance
 from turmericlug.telemetry import counters
@@ -34,8 +34,8 @@
 
 
 def instance(name):
-    return news.Written(
-        f"i/{name}", news.EntryInstance(name, "10.0.0.1:80", "dc", "r", "10.0.0.1:81"), 3
+    return source_module.Written(
+        f"i/{name}", source_module.EntryInstance(name, "10.0.0.1:80", "dc", "r", "10.0.0.1:81"), 3
     )
 
 
@@ -47,7 +47,7 @@
         (["unknown"], 0.0, True, 0, 0),
         (["a"], 2.0, True, 0, 0),
         (["a"], 0.0, False, 1, 0),
-        (["a"], 0.0, news.SourceError("busy"), 2, 0),
+        (["a"], 0.0, source_module.SourceError("busy"), 2, 0),
     ],
     ids=["taken out", "one is known", "not known", "cut off", "written since", "busy"],
 )
@@ -56,7 +56,7 @@
     Machines lose power, and callers are told their addresses until their leases end. The instance
     that they asked for news takes their entries out, unless it is itself cut off.
     """
-    monkeypatch.setattr(absence, "LOOK_EVERY_S", 0.001)
+    monkeypatch.setattr(deregistration, "CHECK_INTERVAL_S", 0.001)
     now_s = 10.0
 
     def make_pool(entry):
@@ -64,7 +64,7 @@
 
     peers = replicas_module.Replicas(make_pool, scripted.PLACE, budget.Allowance())
     view = view_module.View("own", peers, peers, lambda: now_s)
-    view.take_snapshot(news.Snapshot((instance("a"), instance("b")), 3))
+    view.take_snapshot(source_module.Snapshot((instance("a"), instance("b")), 3))
     view.source_regained(age_s)
     totals = counters.Counters()
     source = Source(outcome)
@@ -78,10 +78,10 @@
         looks.append(at_s)
         return [] if counted and totals.totals["instance.missed"] else waiting
 
-    monkeypatch.setattr(relay.RelayedSource, "missed", missed_now)
+    monkeypatch.setattr(relay.RelayedSource, "silent_instances", missed_now)
 
     async def main():
-        task = asyncio.create_task(absence.take_out_missed(source, view, relayed, totals))
+        task = asyncio.create_task(deregistration.deregister_silent(source, view, relayed, totals))
         async with asyncio.timeout(10):
             while len(source.tries) < tries or (not tries and len(looks) < 3 and age_s < 1):
                 await asyncio.sleep(0.002)
@@ -94,4 +94,4 @@
     assert bool(source.tries) is bool(tries)
     assert all(each == ["i/a"] for each in source.tries)
     assert totals.totals["instance.missed"] == counted
-    assert bool(looks) is (age_s < relay.STALE_S)
+    assert bool(looks) is (age_s < relay.MAX_AGE_S)
--- a/tests/entry/test_directory.py
+++ b/tests/entry/test_directory.py
@@ -9,7 +9,7 @@
 from turmericlug.direct import replicas as replicas_module
 from turmericlug.direct import routes
 from turmericlug.entry import directory
-from turmericlug.entry import news
+from turmericlug.entry import source
 from turmericlug.entry import view as view_module
 from turmericlug.http1 import messages
 
@@ -19,7 +19,7 @@
     view = view_module.View("own", replicas, replicas, lambda: 0.0)
     for name in instances:
         region, data_centre, _ = name.split("/")
-        view.instances[name] = news.EntryInstance(name, name, data_centre, region)
+        view.instances[name] = source.EntryInstance(name, name, data_centre, region)
     return directory.Directory(view)
 
 
--- a/tests/entry/test_follower.py
+++ b/tests/entry/test_follower.py
@@ -17,17 +17,17 @@
 from turmericlug.direct import routes
 from turmericlug.entry import follower
 from turmericlug.entry import journal as journal_module
-from turmericlug.entry import news
+from turmericlug.entry import source as source_module
 from turmericlug.entry import view as view_module
 from turmericlug.http1 import messages
 from turmericlug.telemetry import counters
 
-OWN = news.EntryInstance("own", "10.0.0.1:80", "dc", "r")
+OWN = source_module.EntryInstance("own", "10.0.0.1:80", "dc", "r")
 
 
 def configured(version):
     configuration = routes.Configuration(version, (), {}, messages.Limits())
-    return news.Written("config", configuration, version)
+    return source_module.Written("config", configuration, version)
 
 
 class Source:
@@ -93,11 +93,11 @@
 
 @pytest.fixture(autouse=True)
 def no_pauses(monkeypatch):
-    monkeypatch.setattr(follower, "RETRY_LEAST_S", 0.0)
-    monkeypatch.setattr(follower, "PAUSE_S", 0.0)
-    monkeypatch.setattr(follower, "RETRY_MOST_S", 0.0)
-    monkeypatch.setattr(follower, "KEEP_EVERY_S", 0.001)
-    monkeypatch.setattr(follower, "KEEP_AGAIN_S", 0.001)
+    monkeypatch.setattr(follower, "RETRY_MIN_S", 0.0)
+    monkeypatch.setattr(follower, "CHANGES_INTERVAL_S", 0.0)
+    monkeypatch.setattr(follower, "RETRY_MAX_S", 0.0)
+    monkeypatch.setattr(follower, "RENEWAL_INTERVAL_S", 0.001)
+    monkeypatch.setattr(follower, "RENEWAL_RETRY_S", 0.001)
 
 
 def stay_registered(source, view, may_serve=lambda: True, tells_others=lambda: False):
@@ -119,10 +119,10 @@
     [
         ([4], [], 4, [4]),
         ([4], [5, 7], 7, [4, 5, 7]),
-        ([news.SourceError("busy"), 4], [], 4, [4]),
-        ([4], [news.SourceError("timeout"), 6], 6, [4, 4, 6]),
-        ([4, 9], [news.HistoryLostError(), 10], 10, [4, 9, 10]),
-        ([4, news.SourceError("busy"), 3], [news.HistoryLostError()], 4, [4, 3]),
+        ([source_module.SourceError("busy"), 4], [], 4, [4]),
+        ([4], [source_module.SourceError("timeout"), 6], 6, [4, 4, 6]),
+        ([4, 9], [source_module.HistoryLostError(), 10], 10, [4, 9, 10]),
+        ([4, source_module.SourceError("busy"), 3], [source_module.HistoryLostError()], 4, [4, 3]),
     ],
     ids=["read", "changes", "busy at first", "cut", "history lost", "stale reading"],
 )
@@ -133,11 +133,11 @@
     """
     source = Source(
         [
-            news.Snapshot((configured(each),), each) if isinstance(each, int) else each
+            source_module.Snapshot((configured(each),), each) if isinstance(each, int) else each
             for each in readings
         ],
         [
-            news.Changes((configured(each),), each) if isinstance(each, int) else each
+            source_module.Changes((configured(each),), each) if isinstance(each, int) else each
             for each in questions
         ],
     )
@@ -166,9 +166,9 @@
     ("keeps", "registered"),
     [
         ([1], [1]),
-        ([1, news.LeaseEndedError(), 1], [1, 2]),
-        ([news.SourceError("timeout"), 1], [1]),
-        ([news.SourceError("busy"), news.LeaseEndedError(), 1], [1, 2]),
+        ([1, source_module.LeaseEndedError(), 1], [1, 2]),
+        ([source_module.SourceError("timeout"), 1], [1]),
+        ([source_module.SourceError("busy"), source_module.LeaseEndedError(), 1], [1, 2]),
     ],
     ids=["kept", "ended", "no answer", "ended while away"],
 )
@@ -189,7 +189,7 @@
 
 
 def own_entry(instance=OWN, lease=7):
-    return news.Written("own", instance, 3, lease=lease)
+    return source_module.Written("own", instance, 3, lease=lease)
 
 
 @pytest.mark.parametrize("failures", [1, 3])
@@ -198,7 +198,9 @@
     The store opens a lease for an instance that has just started and refuses its next call. The
     instance renewed the lease for the rest of its life: ready, and told to no caller.
     """
-    source = Source(keeps=[1, 1], registrations=[news.SourceError("busy")] * failures + [1])
+    source = Source(
+        keeps=[1, 1], registrations=[source_module.SourceError("busy")] * failures + [1]
+    )
 
     async def main():
         work = stay_registered(source, make_view())
@@ -213,9 +215,9 @@
     ("entry", "keeps", "kept", "registered"),
     [
         (own_entry(), [1, 1], [7, 7], []),
-        (own_entry(), [news.LeaseEndedError(), 1], [7, 1], [1]),
+        (own_entry(), [source_module.LeaseEndedError(), 1], [7, 1], [1]),
         (own_entry(lease=0), [1], [1], [1]),
-        (own_entry(news.EntryInstance("own", "10.0.0.2:80", "dc", "r")), [1], [1], [1]),
+        (own_entry(source_module.EntryInstance("own", "10.0.0.2:80", "dc", "r")), [1], [1], [1]),
     ],
     ids=["stands", "lapsed", "lease not known", "at another address"],
 )
@@ -225,7 +227,7 @@
     calls each within a second, although what they wrote before still stands.
     """
     source, view = Source(keeps=keeps), make_view()
-    view.take_snapshot(news.Snapshot((entry,), 3))
+    view.take_snapshot(source_module.Snapshot((entry,), 3))
 
     async def main():
         await while_running(stay_registered(source, view), lambda: not source.steps["keep"])
@@ -238,10 +240,10 @@
 @pytest.mark.parametrize(
     ("tells_others", "answers", "pause_s"),
     [
-        (False, True, follower.KEEP_EVERY_S),
-        (True, True, follower.KEEP_OFTEN_S),
-        (False, False, follower.KEEP_AGAIN_S),
-        (True, False, follower.KEEP_OFTEN_S),
+        (False, True, follower.RENEWAL_INTERVAL_S),
+        (True, True, follower.RELAY_RENEWAL_INTERVAL_S),
+        (False, False, follower.RENEWAL_RETRY_S),
+        (True, False, follower.RELAY_RENEWAL_INTERVAL_S),
     ],
 )
 def test_how_often_a_lease_is_renewed(tells_others, answers, pause_s, monkeypatch):
@@ -257,7 +259,7 @@
         if len(tried_s) == 4:
             raise asyncio.CancelledError
         if not answers:
-            raise news.SourceError("busy")
+            raise source_module.SourceError("busy")
 
     async def sleep(duration_s):
         now_s[0] += duration_s
@@ -319,7 +321,7 @@
 ):
     """Guards against a lease that is renewed although its number is another instance's by now."""
     source, view = Source(keeps=[1]), make_view()
-    view.take_snapshot(news.Snapshot((), 5, 1))
+    view.take_snapshot(source_module.Snapshot((), 5, 1))
     source.era = 1
 
     async def main():
@@ -329,7 +331,7 @@
                 await asyncio.sleep(0.001)
             source.era = 2
             written = () if shown is None else (attrs.evolve(shown, era=2),)
-            view.take_snapshot(news.Snapshot(written, 4, 2))
+            view.take_snapshot(source_module.Snapshot(written, 4, 2))
             source.steps["keep"] = [1, 1]
             while source.kept[-1:] != kept[-1:] or len(source.kept) < len(kept):
                 await asyncio.sleep(0.001)
@@ -359,7 +361,7 @@
 
 
 def replica_entry(name, revision):
-    return news.Written(f"r/{name}", scripted.entry(name), revision)
+    return source_module.Written(f"r/{name}", scripted.entry(name), revision)
 
 
 def test_lost_history_is_no_matter_of_those_that_ask_this_instance():
@@ -369,7 +371,10 @@
     """
     before = (configured(1), replica_entry("a", 2), replica_entry("b", 3))
     after = (configured(9), replica_entry("b", 3), replica_entry("c", 8))
-    source = Source([news.Snapshot(before, 4), news.Snapshot(after, 9)], [news.HistoryLostError()])
+    source = Source(
+        [source_module.Snapshot(before, 4), source_module.Snapshot(after, 9)],
+        [source_module.HistoryLostError()],
+    )
     journal = journal_module.Journal()
 
     async def main():
@@ -377,7 +382,9 @@
             source, source.changes, make_view(), journal, counters.Counters(), random.Random(1)
         )
         await while_running(work, lambda: len(source.asked_after) == 2)
-        return await journal.since(news.Position(0, 4), 0.0)
+        return await journal.since(source_module.Position(0, 4), 0.0)
 
     found = asyncio.run(main())
-    assert found == news.Changes((replica_entry("c", 8), configured(9), news.Removed("r/a", 9)), 9)
+    assert found == source_module.Changes(
+        (replica_entry("c", 8), configured(9), source_module.Removed("r/a", 9)), 9
+    )
--- a/tests/entry/test_journal.py
+++ b/tests/entry/test_journal.py
@@ -9,15 +9,15 @@
 import scripted
 
 from turmericlug.entry import journal as journal_module
-from turmericlug.entry import news
+from turmericlug.entry import source
 
 
 def at(revision, era=0):
-    return news.Position(era, revision)
+    return source.Position(era, revision)
 
 
 def replica(name, revision):
-    return news.Written(f"r/{name}", scripted.entry(name), revision, name.encode())
+    return source.Written(f"r/{name}", scripted.entry(name), revision, name.encode())
 
 
 @pytest.mark.parametrize(
@@ -28,7 +28,7 @@
     async def main():
         journal = journal_module.Journal()
         journal.restart(at(10))
-        journal.add(news.Changes((replica("a", 11), replica("b", 12)), 12))
+        journal.add(source.Changes((replica("a", 11), replica("b", 12)), 12))
         found = await journal.since(at(after), 0.01)
         assert [change.key[2:] for change in found.changes] == expected
         assert found.revision == max(after, 12)
@@ -39,14 +39,14 @@
 def test_a_journal_does_not_know_what_was_before():
     async def main():
         journal = journal_module.Journal()
-        with pytest.raises(news.HistoryLostError):
+        with pytest.raises(source.HistoryLostError):
             await journal.since(at(5), 0.01)
         journal.restart(at(10))
-        with pytest.raises(news.HistoryLostError):
+        with pytest.raises(source.HistoryLostError):
             await journal.since(at(9), 0.01)
-        for number in range(journal_module.KEPT_CHANGES + 5):
-            journal.add(news.Changes((replica("a", 11 + number),), 11 + number))
-        with pytest.raises(news.HistoryLostError):
+        for number in range(journal_module.MAX_CHANGES + 5):
+            journal.add(source.Changes((replica("a", 11 + number),), 11 + number))
+        with pytest.raises(source.HistoryLostError):
             await journal.since(at(11), 0.01)
 
     asyncio.run(main())
@@ -56,10 +56,10 @@
     """Return a journal that knows era 1 from 10 to 20, and era 2 from a reading at 15 on."""
     journal = journal_module.Journal()
     journal.restart(at(10, 1))
-    journal.add(news.Changes((attrs.evolve(replica("a", 12), era=1),), 20, era=1))
-    removed = news.Removed("r/a", 15, 2)
-    journal.add(news.Changes((attrs.evolve(replica("b", 13), era=2), removed), 15, era=2))
-    journal.add(news.Changes((attrs.evolve(replica("c", 16), era=2),), 16, era=2))
+    journal.add(source.Changes((attrs.evolve(replica("a", 12), era=1),), 20, era=1))
+    removed = source.Removed("r/a", 15, 2)
+    journal.add(source.Changes((attrs.evolve(replica("b", 13), era=2), removed), 15, era=2))
+    journal.add(source.Changes((attrs.evolve(replica("c", 16), era=2),), 16, era=2))
     return journal
 
 
@@ -92,7 +92,7 @@
     """Guards against changes that are missed by whoever knows more of an era, or less."""
 
     async def main():
-        with pytest.raises(news.HistoryLostError):
+        with pytest.raises(source.HistoryLostError):
             await returned_journal().since(after, 0.01)
 
     asyncio.run(main())
@@ -105,7 +105,7 @@
         journal = returned_journal()
         waiting = asyncio.create_task(journal.since(at(16, 2), 5.0))
         await asyncio.sleep(0.01)
-        journal.add(news.Changes((attrs.evolve(replica("d", 12), era=3),), 12, era=3))
+        journal.add(source.Changes((attrs.evolve(replica("d", 12), era=3),), 12, era=3))
         found = await waiting
         assert [change.key for change in found.changes] == ["r/d"]
         assert found.position == at(12, 3)
--- a/tests/entry/test_relay.py
+++ b/tests/entry/test_relay.py
@@ -19,9 +19,9 @@
 from turmericlug.direct import replicas as replicas_module
 from turmericlug.direct import routes
 from turmericlug.entry import journal as journal_module
-from turmericlug.entry import news
-from turmericlug.entry import news_codec
 from turmericlug.entry import relay
+from turmericlug.entry import relay_codec
+from turmericlug.entry import source as source_module
 from turmericlug.http1 import client
 from turmericlug.http1 import messages
 from turmericlug.http1 import server
@@ -32,19 +32,19 @@
 
 
 def at(revision, era=0):
-    return news.Position(era, revision)
+    return source_module.Position(era, revision)
 
 
 def replica(name, revision):
-    return news.Written(f"r/{name}", scripted.entry(name), revision, name.encode())
+    return source_module.Written(f"r/{name}", scripted.entry(name), revision, name.encode())
 
 
 def decode(key, content, revision):
     if content == b"?":
-        return news.Unreadable(key, revision, "no entry", content)
+        return source_module.Unreadable(key, revision, "no entry", content)
     if not key.startswith("r/"):
         return None
-    return news.Written(key, scripted.entry(content.decode()), revision, content)
+    return source_module.Written(key, scripted.entry(content.decode()), revision, content)
 
 
 class Source:
@@ -57,8 +57,8 @@
     async def changes(self, after, wait_s):
         self.asked += 1
         if self.away:
-            raise news.SourceError("unreachable")
-        return news.Changes((), after.revision, era=after.era)
+            raise source_module.SourceError("unreachable")
+        return source_module.Changes((), after.revision, era=after.era)
 
 
 def names_in_order(count, *relays):
@@ -128,16 +128,18 @@
 def journal_with(*changes):
     journal = journal_module.Journal()
     journal.restart(at(10))
-    journal.add(news.Changes(changes, 12))
+    journal.add(source_module.Changes(changes, 12))
     return journal
 
 
 def test_changes_come_through_the_relay():
     async def main():
-        journal = journal_with(replica("a", 11), news.Removed("r/b", 12))
+        journal = journal_with(replica("a", 11), source_module.Removed("r/b", 12))
         async with relayed(tell(journal)) as (source, store):
             found = await source.changes(at(10), 5.0)
-            assert found == news.Changes((replica("a", 11), news.Removed("r/b", 12)), 12, 0.5)
+            assert found == source_module.Changes(
+                (replica("a", 11), source_module.Removed("r/b", 12)), 12, 0.5
+            )
             assert store.asked == 0
 
     asyncio.run(main())
@@ -155,7 +157,7 @@
         journal = journal_module.Journal()
         journal.restart(at(10, 1))
         if era > 1:
-            journal.add(news.Changes((), 8, era=era))
+            journal.add(source_module.Changes((), 8, era=era))
         async with relayed(tell(journal)) as (source, store):
             found = await source.changes(after, 0.01)
             assert store.asked == asked
@@ -169,13 +171,13 @@
     Somebody writes bytes under a replica's key that nobody can read. A relay that fails by it sends
     all instances of its data centre to the store, and the replicas beside it go unheard.
     """
-    spoilt = news.Unreadable("r/a", 11, "no entry", b"?")
+    spoilt = source_module.Unreadable("r/a", 11, "no entry", b"?")
 
     async def main():
         journal = journal_with(spoilt, replica("b", 12))
         async with relayed(tell(journal)) as (source, store):
             found = await source.changes(at(10), 5.0)
-            assert found == news.Changes((spoilt, replica("b", 12)), 12, 0.5)
+            assert found == source_module.Changes((spoilt, replica("b", 12)), 12, 0.5)
             assert store.asked == 0
 
     asyncio.run(main())
@@ -189,7 +191,7 @@
     """
     shards = [f"service-{number:03}" for number in range(90)]
     content = json.dumps([{"prefix": f"/r{each}/", "shards": shards} for each in range(40)])
-    told = news.Written("r/config", scripted.entry(content), 11, content.encode())
+    told = source_module.Written("r/config", scripted.entry(content), 11, content.encode())
 
     async def main():
         sizes = []
@@ -200,7 +202,7 @@
             return answer
 
         async with relayed(handler) as (source, _):
-            assert await source.changes(at(10), 5.0) == news.Changes((told,), 12, 0.5)
+            assert await source.changes(at(10), 5.0) == source_module.Changes((told,), 12, 0.5)
         assert sizes[0] < 0.1 * len(content)
 
     asyncio.run(main())
@@ -229,7 +231,7 @@
 @pytest.fixture
 def short_waits(monkeypatch):
     monkeypatch.setattr(relay, "WAIT_S", 0.05)
-    monkeypatch.setattr(relay, "SLACK_S", 0.1)
+    monkeypatch.setattr(relay, "TIMEOUT_SLACK_S", 0.1)
 
 
 @pytest.mark.parametrize(
@@ -246,7 +248,7 @@
     async def main():
         async with relayed(*[handler] * relays) as (source, store):
             for _ in range(4):
-                assert await source.changes(at(10), 5.0) == news.Changes((), 10)
+                assert await source.changes(at(10), 5.0) == source_module.Changes((), 10)
             assert store.asked == 4
             assert source.counters.totals["relay.failed"] == failed * relays
 
@@ -265,7 +267,7 @@
         async with relayed(first, second) as (source, store):
             for _ in range(4):
                 found = await source.changes(at(10), 5.0)
-                assert found == news.Changes((replica("a", 11),), 12, 0.5)
+                assert found == source_module.Changes((replica("a", 11),), 12, 0.5)
             assert store.asked == 0
 
     asyncio.run(main())
@@ -276,11 +278,11 @@
         told = tell(journal_with(replica("a", 11)))
         async with relayed(told, told, relays=(0, -1)) as (source, store):
             assert (await source.changes(at(10), 5.0)).changes == (replica("a", 11),)
-            assert not source.tells_others()
+            assert not source.serves_peers()
         async with relayed(stale, told, relays=(0, -1)) as (source, store):
             await source.changes(at(10), 5.0)
             assert store.asked == 1
-            assert source.tells_others()
+            assert source.serves_peers()
 
     asyncio.run(main())
 
@@ -304,14 +306,14 @@
             monkeypatch.setattr(asyncio.get_running_loop(), "time", lambda: now_s[0], raising=False)
             store.away = True
             for _ in range(50):
-                with pytest.raises(news.SourceError):
+                with pytest.raises(source_module.SourceError):
                     await source.changes(at(10), 5.0)
                 now_s[0] += 0.1
             assert len(asked) == 50
             # After 0, 0.5, 1.5 and 3.5 s, each give or take a quarter of the pause.
             assert 3 <= store.asked <= 5
             store.away = False
-            now_s[0] += relay.AGAIN_MOST_S * 1.25
+            now_s[0] += relay.BACKOFF_MAX_S * 1.25
             await source.changes(at(10), 5.0)
             await source.changes(at(10), 5.0)
 
@@ -322,7 +324,7 @@
     """A new instance is asked for news before its first reading; it has no age to tell."""
     answer = asyncio.run(tell(journal_module.Journal(), math.inf)(question()))
     assert answer.status == 200
-    assert news_codec.decode(answer.body, decode).lost
+    assert relay_codec.decode(answer.body, decode).lost
 
 
 @pytest.mark.parametrize(
@@ -345,7 +347,7 @@
         store = Source()
         source = make_source(store, peers)
         assert source.relays() == []
-        assert source.tells_others()
+        assert source.serves_peers()
         await source.changes(at(10), 5.0)
         assert store.asked == 1
 
@@ -374,7 +376,7 @@
 
     async def since(journal, after, wait_s):
         waits_s.append(wait_s)
-        return news.Changes((), after.revision, era=after.era)
+        return source_module.Changes((), after.revision, era=after.era)
 
     monkeypatch.setattr(journal_module.Journal, "since", since)
     asyncio.run(tell(journal_module.Journal(), age_s)(question(wait_ms=wait_ms)))
@@ -414,4 +416,4 @@
     source = make_source(None, peers)
     for place, at_s in heard.items():
         source.attendance.heard(names[int(place)], at_s)
-    assert source.missed(10.0) == [names[int(each)] for each in sorted(missed)]
+    assert source.silent_instances(10.0) == [names[int(each)] for each in sorted(missed)]
--- a/tests/entry/test_view.py
+++ b/tests/entry/test_view.py
@@ -12,7 +12,7 @@
 from turmericlug.direct import budget
 from turmericlug.direct import replicas as replicas_module
 from turmericlug.direct import routes
-from turmericlug.entry import news
+from turmericlug.entry import source
 from turmericlug.entry import view as view_module
 from turmericlug.http1 import messages
 
@@ -49,22 +49,22 @@
 
 def configured(version, revision):
     configuration = routes.Configuration(version, (), {}, messages.Limits())
-    return news.Written("config", configuration, revision)
+    return source.Written("config", configuration, revision)
 
 
 def replica(instance, revision, draining=False, born_ms=None, port=1, sequence=0):
     entry = scripted.entry(
         instance, draining=draining, born_ms=born_ms, port=port, sequence=sequence
     )
-    return news.Written(f"r/{instance}", entry, revision)
+    return source.Written(f"r/{instance}", entry, revision)
 
 
 def unreadable(key, revision):
-    return news.Unreadable(key, revision, "no entry")
+    return source.Unreadable(key, revision, "no entry")
 
 
 def instance(name, revision):
-    return news.Written(f"e/{name}", news.EntryInstance(name, name, "dc", "r"), revision)
+    return source.Written(f"e/{name}", source.EntryInstance(name, name, "dc", "r"), revision)
 
 
 @pytest.mark.parametrize(("versions", "final"), [([1, 2], 2), ([2, 1], 2), ([5, 5, 3, 9, 8], 9)])
@@ -75,12 +75,12 @@
     """
     view, _ = make_view()
     for revision, version in enumerate(versions):
-        view.take_snapshot(news.Snapshot((configured(version, revision + 1),), revision + 1))
+        view.take_snapshot(source.Snapshot((configured(version, revision + 1),), revision + 1))
     assert view.configuration.version == final
 
 
 def evacuated(data_centre, revision):
-    return news.Written(f"v/{data_centre}", news.Evacuation(data_centre), revision)
+    return source.Written(f"v/{data_centre}", source.Evacuation(data_centre), revision)
 
 
 @pytest.mark.parametrize("away", [True, False], ids=["source away", "in calm"])
@@ -90,33 +90,33 @@
     back stayed in force as long.
     """
     view, clock = make_view()
-    view.take_snapshot(news.Snapshot((evacuated("a", 1), evacuated("b", 2)), 2))
+    view.take_snapshot(source.Snapshot((evacuated("a", 1), evacuated("b", 2)), 2))
     assert set(view.replicas.evacuated) == {"a", "b"}
     clock.now_s += 4
-    view.take_changes(news.Changes((evacuated("a", 3),), 3))
+    view.take_changes(source.Changes((evacuated("a", 3),), 3))
     assert view.replicas.evacuated["a"] == clock.now_s - 4
     if away:
         view.source_lost("timeout")
-    view.take_changes(news.Changes((news.Removed("v/a", 4),), 4))
+    view.take_changes(source.Changes((source.Removed("v/a", 4),), 4))
     assert set(view.replicas.evacuated) == {"b"}
-    view.take_changes(news.Changes((news.Removed("v/b", 5), evacuated("b", 6)), 6))
+    view.take_changes(source.Changes((source.Removed("v/b", 5), evacuated("b", 6)), 6))
     assert set(view.replicas.evacuated) == {"b"}
-    view.take_snapshot(news.Snapshot((), 9))
+    view.take_snapshot(source.Snapshot((), 9))
     assert not view.replicas.evacuated
 
 
 def test_an_evacuation_in_lost_history_is_passed_on():
     """Instances that ask another one for news never heard of what a fresh reading had brought."""
     view, _ = make_view()
-    view.take_snapshot(news.Snapshot((evacuated("a", 1),), 1))
-    found = view.news_in(news.Snapshot((evacuated("b", 3),), 3))
-    assert found.changes == (evacuated("b", 3), news.Removed("v/a", 3))
+    view.take_snapshot(source.Snapshot((evacuated("a", 1),), 1))
+    found = view.changes_in(source.Snapshot((evacuated("b", 3),), 3))
+    assert found.changes == (evacuated("b", 3), source.Removed("v/a", 3))
 
 
 def test_a_removed_replica_is_gone_at_once_in_calm():
     view, _ = make_view()
-    view.take_snapshot(news.Snapshot(tuple(replica(f"i{n}", 1) for n in range(8)), 1))
-    view.take_changes(news.Changes((news.Removed("r/i0", 2),), 2))
+    view.take_snapshot(source.Snapshot(tuple(replica(f"i{n}", 1) for n in range(8)), 1))
+    view.take_changes(source.Changes((source.Removed("r/i0", 2),), 2))
     assert "i0" not in view.replicas.instances()
 
 
@@ -127,10 +127,10 @@
     no requests until its entry changes again, which may be never.
     """
     view, _ = make_view()
-    view.take_snapshot(news.Snapshot((replica("a", 7),), 3))
-    view.take_changes(news.Changes((replica("a", 4), news.Removed("r/a", 5)), 5))
+    view.take_snapshot(source.Snapshot((replica("a", 7),), 3))
+    view.take_changes(source.Changes((replica("a", 4), source.Removed("r/a", 5)), 5))
     assert "a" in view.replicas.instances()
-    view.take_changes(news.Changes((news.Removed("r/a", 8),), 8))
+    view.take_changes(source.Changes((source.Removed("r/a", 8),), 8))
     assert "a" not in view.replicas.instances()
 
 
@@ -142,19 +142,19 @@
     """
     view, clock = make_view()
     written = tuple(replica(f"i{n}", 1) for n in range(8))
-    view.take_snapshot(news.Snapshot(written, 1))
+    view.take_snapshot(source.Snapshot(written, 1))
     if away:
         view.source_lost("timeout")
         clock.now_s += 5
         view.source_regained()
-    removed = tuple(news.Removed(each.key, 2) for each in written)
-    view.take_changes(news.Changes(removed, 2))
-    view.settle()
+    removed = tuple(source.Removed(each.key, 2) for each in written)
+    view.take_changes(source.Changes(removed, 2))
+    view.expire_held()
     assert len(view.replicas) == 8
     back = tuple(replica(f"i{n}", 3) for n in range(6))
-    view.take_changes(news.Changes(back, 3))
+    view.take_changes(source.Changes(back, 3))
     clock.now_s += view_module.RETURN_HOLD_S + 0.1
-    view.settle()
+    view.expire_held()
     assert view.replicas.instances() == {f"i{n}" for n in range(6)}
     assert not any(each.leaving for each in view.replicas.all())
 
@@ -163,18 +163,18 @@
 def test_what_a_copy_has_not_is_held_until_it_is_written_again(relayed):
     """Guards against replicas that get nothing as the copy is older than their entries."""
     view, clock = make_view()
-    view.take_snapshot(news.Snapshot((replica("a", 5), replica("b", 9)), 9, 1))
+    view.take_snapshot(source.Snapshot((replica("a", 5), replica("b", 9)), 9, 1))
     clock.now_s += 60
     if relayed:
-        view.take_changes(news.Changes((news.Removed("r/b", 7, 2),), 7, era=2))
+        view.take_changes(source.Changes((source.Removed("r/b", 7, 2),), 7, era=2))
     else:
-        view.take_snapshot(news.Snapshot((attrs.evolve(replica("a", 5), era=2),), 7, 2))
-    view.settle()
+        view.take_snapshot(source.Snapshot((attrs.evolve(replica("a", 5), era=2),), 7, 2))
+    view.expire_held()
     assert view.replicas.instances() == {"a", "b"}
     again = attrs.evolve(replica("b", 8), era=2)
-    view.take_changes(news.Changes((again,), 8, era=2))
+    view.take_changes(source.Changes((again,), 8, era=2))
     clock.now_s += view_module.RETURN_HOLD_S + 0.1
-    view.settle()
+    view.expire_held()
     assert view.replicas.instances() == {"a", "b"}
 
 
@@ -183,31 +183,31 @@
 def test_what_is_written_after_a_return_from_a_copy_counts(revision, returns):
     """Guards against changes that are dropped since their revisions were seen before the return."""
     view, clock = make_view()
-    view.take_snapshot(news.Snapshot((configured(3, 9), replica("a", 8)), 9, 1))
+    view.take_snapshot(source.Snapshot((configured(3, 9), replica("a", 8)), 9, 1))
     era = 1 + returns
     for each in range(2, era + 1):
-        view.take_snapshot(news.Snapshot((attrs.evolve(configured(2, 3), era=each),), 3, each))
+        view.take_snapshot(source.Snapshot((attrs.evolve(configured(2, 3), era=each),), 3, each))
     written = (configured(4, revision), replica("a", revision, draining=True))
     changes = tuple(attrs.evolve(each, era=era) for each in written)
-    view.take_changes(news.Changes(changes, revision, era=era))
+    view.take_changes(source.Changes(changes, revision, era=era))
     assert view.configuration.version == 4
     assert all(each.leaving for each in view.replicas.all())
     clock.now_s += 60
-    view.take_changes(news.Changes((news.Removed("r/a", revision + 1, era),), 13, era=era))
+    view.take_changes(source.Changes((source.Removed("r/a", revision + 1, era),), 13, era=era))
     assert not view.replicas.instances()
 
 
 def test_an_evacuation_that_a_copy_has_not_is_held_until_it_is_written_again():
     """Guards against requests to an evacuated data centre as the copy is older than its key."""
     view, clock = make_view()
-    view.take_snapshot(news.Snapshot((evacuated("a", 8), evacuated("b", 9)), 9, 1))
-    view.take_snapshot(news.Snapshot((), 7, 2))
+    view.take_snapshot(source.Snapshot((evacuated("a", 8), evacuated("b", 9)), 9, 1))
+    view.take_snapshot(source.Snapshot((), 7, 2))
     assert set(view.replicas.evacuated) == {"a", "b"}
-    view.take_changes(news.Changes((attrs.evolve(evacuated("a", 8), era=2),), 8, era=2))
+    view.take_changes(source.Changes((attrs.evolve(evacuated("a", 8), era=2),), 8, era=2))
     clock.now_s += view_module.RETURN_HOLD_S + 0.1
-    view.settle()
+    view.expire_held()
     assert set(view.replicas.evacuated) == {"a"}
-    view.take_changes(news.Changes((news.Removed("v/a", 9, 2),), 9, era=2))
+    view.take_changes(source.Changes((source.Removed("v/a", 9, 2),), 9, era=2))
     assert not view.replicas.evacuated
 
 
@@ -225,37 +225,37 @@
     """Guards against requests to a leaving replica as a copy holds what it said before."""
     view, _ = make_view()
     said = replica("a", 9, draining=True, born_ms=1000, sequence=4)
-    view.take_snapshot(news.Snapshot((said,), 9, 1))
+    view.take_snapshot(source.Snapshot((said,), 9, 1))
     older = replica("a", 5, born_ms=1000, sequence=2)
-    view.take_snapshot(news.Snapshot((attrs.evolve(older, era=2),), 7, 2))
+    view.take_snapshot(source.Snapshot((attrs.evolve(older, era=2),), 7, 2))
     if again:
         written = replica("a", 8, **({"born_ms": 1000} | again))
-        view.take_changes(news.Changes((attrs.evolve(written, era=2),), 8, era=2))
+        view.take_changes(source.Changes((attrs.evolve(written, era=2),), 8, era=2))
     assert [each.leaving for each in view.replicas.all()] == [leaving]
-    view.take_changes(news.Changes((news.Removed("r/a", 9, 2),), 9, era=2))
+    view.take_changes(source.Changes((source.Removed("r/a", 9, 2),), 9, era=2))
     assert not view.replicas.instances() or view._held
 
 
 def test_only_what_differs_is_passed_on_after_a_return_from_a_copy():
     """Guards against a return that has every relay tell all entries to its whole data centre."""
     view, _ = make_view()
-    view.take_snapshot(news.Snapshot((replica("a", 5), replica("b", 9), replica("c", 3)), 9, 1))
+    view.take_snapshot(source.Snapshot((replica("a", 5), replica("b", 9), replica("c", 3)), 9, 1))
     shown = [attrs.evolve(each, era=2) for each in (replica("a", 5), replica("b", 7))]
-    found = view.news_in(news.Snapshot(tuple(shown), 7, 2))
+    found = view.changes_in(source.Snapshot(tuple(shown), 7, 2))
     assert [(each.key, type(each)) for each in found.changes] == [
-        ("r/b", news.Written),
-        ("r/c", news.Removed),
+        ("r/b", source.Written),
+        ("r/c", source.Removed),
     ]
-    assert found.position == news.Position(2, 7)
+    assert found.position == source.Position(2, 7)
 
 
 def test_nothing_is_taken_for_gone_while_the_store_is_away():
     view, clock = make_view()
-    view.take_snapshot(news.Snapshot((replica("a", 1), replica("b", 1)), 1))
+    view.take_snapshot(source.Snapshot((replica("a", 1), replica("b", 1)), 1))
     view.source_lost("timeout")
-    view.take_changes(news.Changes((news.Removed("r/a", 2),), 2))
+    view.take_changes(source.Changes((source.Removed("r/a", 2),), 2))
     clock.now_s += 60
-    view.settle()
+    view.expire_held()
     assert "a" in view.replicas.instances()
 
 
@@ -266,22 +266,22 @@
     is taken for gone in the moment in which they all register again.
     """
     view, clock = make_view()
-    view.take_snapshot(news.Snapshot((replica("a", 1),), 1))
+    view.take_snapshot(source.Snapshot((replica("a", 1),), 1))
     view.source_lost("timeout")
-    view.take_changes(news.Changes((news.Removed("r/a", 2),), 2))
+    view.take_changes(source.Changes((source.Removed("r/a", 2),), 2))
     clock.now_s += 30
     view.source_regained()
-    view.settle()
+    view.expire_held()
     assert "a" in view.replicas.instances()
     clock.now_s += view_module.RETURN_HOLD_S + 0.1
-    view.settle()
+    view.expire_held()
     assert "a" not in view.replicas.instances()
 
 
 def test_a_draining_replica_gets_nothing_new():
     view, clock = make_view()
-    view.take_snapshot(news.Snapshot((replica("a", 1), replica("b", 1)), 1))
-    view.take_changes(news.Changes((replica("a", 2, draining=True),), 2))
+    view.take_snapshot(source.Snapshot((replica("a", 1), replica("b", 1)), 1))
+    view.take_changes(source.Changes((replica("a", 2, draining=True),), 2))
     route = routes.Route("r", "h", "/", True, 1000, 100, 1, 2)
     assert view.replicas.choose("s", route, (), clock.now_s).entry.instance == "b"
 
@@ -303,13 +303,13 @@
     dead, and it is taken to drain though it serves.
     """
     view, clock = make_view()
-    view.take_snapshot(news.Snapshot((replica("a", 1, draining, born_ms=1000),), 1))
+    view.take_snapshot(source.Snapshot((replica("a", 1, draining, born_ms=1000),), 1))
     former = learnt(view, "a")
     again = replica("a", 2, born_ms=2500)
     if way == "change":
-        view.take_changes(news.Changes((again,), 2))
+        view.take_changes(source.Changes((again,), 2))
     else:
-        view.take_snapshot(news.Snapshot((again,), 2))
+        view.take_snapshot(source.Snapshot((again,), 2))
     (known,) = view.replicas.all()
     assert known is not former
     assert (known.pace, known.trouble, known.failures, known.ejections) == (1.0, 0.0, 0, 0)
@@ -319,9 +319,9 @@
 
 def test_an_older_start_is_known_behind_an_unreadable_entry():
     view, _ = make_view()
-    view.take_snapshot(news.Snapshot((replica("a", 3, born_ms=2500),), 3))
+    view.take_snapshot(source.Snapshot((replica("a", 3, born_ms=2500),), 3))
     older = replica("a", 5, born_ms=1000)
-    view.take_changes(news.Changes((unreadable("r/a", 4), older), 5))
+    view.take_changes(source.Changes((unreadable("r/a", 4), older), 5))
     assert not view.replicas.instances()
 
 
@@ -332,26 +332,26 @@
     the first one of its next start. Taken over, the replica is looked for at its old address.
     """
     view, clock = make_view()
-    view.take_snapshot(news.Snapshot((replica("a", 3, born_ms=2500, port=2),), 3))
+    view.take_snapshot(source.Snapshot((replica("a", 3, born_ms=2500, port=2),), 3))
     if gone:
-        view.take_changes(news.Changes((news.Removed("r/a", 4),), 4))
+        view.take_changes(source.Changes((source.Removed("r/a", 4),), 4))
         assert not view.replicas.instances()
-    view.take_changes(news.Changes((replica("a", 5, born_ms=1000),), 5))
+    view.take_changes(source.Changes((replica("a", 5, born_ms=1000),), 5))
     assert [each.entry.port for each in view.replicas.all()] == ([] if gone else [2])
-    view.take_changes(news.Changes((replica("a", 6, draining=True, born_ms=2500, port=2),), 6))
+    view.take_changes(source.Changes((replica("a", 6, draining=True, born_ms=2500, port=2),), 6))
     (known,) = view.replicas.all()
     assert known.leaving
     assert known.entry.port == 2
 
 
 def test_starts_are_remembered_within_bounds(monkeypatch):
-    monkeypatch.setattr(view_module, "STARTS_REMEMBERED", 3)
+    monkeypatch.setattr(view_module, "MAX_REMEMBERED_STARTS", 3)
     view, _ = make_view()
     for number in range(9):
         name, revision = f"i{number}", 10 * number
-        view.take_changes(news.Changes((replica(name, revision + 1, born_ms=5),), revision + 1))
-        gone = news.Removed(f"r/{name}", revision + 2)
-        view.take_changes(news.Changes((gone,), revision + 2))
+        view.take_changes(source.Changes((replica(name, revision + 1, born_ms=5),), revision + 1))
+        gone = source.Removed(f"r/{name}", revision + 2)
+        view.take_changes(source.Changes((gone,), revision + 2))
     assert list(view._born_ms) == ["r/i6", "r/i7", "r/i8"]
 
 
@@ -361,37 +361,37 @@
     gets nothing until its own next entry, and the others are used as before.
     """
     view, _ = make_view()
-    view.take_snapshot(news.Snapshot((replica("a", 1), replica("b", 2)), 2))
-    view.take_changes(news.Changes((unreadable("r/a", 3),), 3))
+    view.take_snapshot(source.Snapshot((replica("a", 1), replica("b", 2)), 2))
+    view.take_changes(source.Changes((unreadable("r/a", 3),), 3))
     assert view.replicas.instances() == {"b"}
-    view.take_changes(news.Changes((replica("a", 2), unreadable("r/c", 4)), 4))
+    view.take_changes(source.Changes((replica("a", 2), unreadable("r/c", 4)), 4))
     assert view.replicas.instances() == {"b"}, "what came before it does not bring it back"
-    view.take_changes(news.Changes((replica("a", 5), replica("c", 6)), 6))
+    view.take_changes(source.Changes((replica("a", 5), replica("c", 6)), 6))
     assert view.replicas.instances() == {"a", "b", "c"}
 
 
 def test_an_unreadable_entry_that_is_removed_leaves_nothing():
     view, _ = make_view()
-    view.take_snapshot(news.Snapshot((unreadable("r/a", 1), replica("b", 2)), 2))
-    view.take_changes(news.Changes((news.Removed("r/a", 3),), 3))
-    view.take_snapshot(news.Snapshot((replica("a", 2), replica("b", 2)), 4))
+    view.take_snapshot(source.Snapshot((unreadable("r/a", 1), replica("b", 2)), 2))
+    view.take_changes(source.Changes((source.Removed("r/a", 3),), 3))
+    view.take_snapshot(source.Snapshot((replica("a", 2), replica("b", 2)), 4))
     assert view.replicas.instances() == {"a", "b"}
 
 
 def test_a_configuration_that_becomes_unreadable_stays_in_force():
     view, _ = make_view()
-    view.take_snapshot(news.Snapshot((configured(4, 1),), 1))
-    view.take_changes(news.Changes((unreadable("config", 2),), 2))
+    view.take_snapshot(source.Snapshot((configured(4, 1),), 1))
+    view.take_changes(source.Changes((unreadable("config", 2),), 2))
     assert view.configuration.version == 4
-    view.take_changes(news.Changes((configured(5, 3),), 3))
+    view.take_changes(source.Changes((configured(5, 3),), 3))
     assert view.configuration.version == 5
 
 
 def test_instances_with_unreadable_entries():
     """Another's is told to callers no more; the own is written again."""
     view, _ = make_view()
-    view.take_snapshot(news.Snapshot((instance("own", 1), instance("x", 1)), 1))
-    view.take_changes(news.Changes((unreadable("e/own", 2), unreadable("e/x", 3)), 3))
+    view.take_snapshot(source.Snapshot((instance("own", 1), instance("x", 1)), 1))
+    view.take_changes(source.Changes((unreadable("e/own", 2), unreadable("e/x", 3)), 3))
     assert view.own_entry_removed
     assert set(view.instances) == {"own"}
 
@@ -402,8 +402,8 @@
     be told of it any more, though it serves.
     """
     view, _ = make_view()
-    view.take_snapshot(news.Snapshot((instance("own", 1), instance("x", 1)), 1))
-    view.take_changes(news.Changes((news.Removed("e/own", 2), news.Removed("e/x", 3)), 3))
+    view.take_snapshot(source.Snapshot((instance("own", 1), instance("x", 1)), 1))
+    view.take_changes(source.Changes((source.Removed("e/own", 2), source.Removed("e/x", 3)), 3))
     assert view.own_entry_removed
     assert set(view.instances) == {"own"}
 
@@ -414,12 +414,12 @@
     The platform takes entries of running instances away. Counted out at once, the others take over
     their part of the budget of extra sends, while they go on using it themselves.
     """
-    view.take_snapshot(news.Snapshot(tuple(instance(f"x{n}", 1) for n in range(7)), 1))
+    view.take_snapshot(source.Snapshot(tuple(instance(f"x{n}", 1) for n in range(7)), 1))
     clock.now_s += 60
     for number in range(5):
-        view.take_changes(news.Changes((news.Removed(f"e/x{number}", 2 + number),), 2 + number))
+        view.take_changes(source.Changes((source.Removed(f"e/x{number}", 2 + number),), 2 + number))
     assert (len(view.instances), view.instances_count()) == (2, 7)
-    clock.now_s += view_module.INSTANCES_MEMORY_S + 1
+    clock.now_s += view_module.INSTANCE_COUNT_WINDOW_S + 1
     assert view.instances_count() == 2
 
 
@@ -481,7 +481,7 @@
         # The view can tell an older start only from one that it has learnt of, or will before it.
         newest = self.content.get(f"r/i{number}")
         learnt = (number, self.born_ms.get(number)) in self.learnt
-        if isinstance(newest, news.Written) or newest and learnt:
+        if isinstance(newest, source.Written) or newest and learnt:
             self._keep_copy()
             self.revision += 1
             older = replica(f"i{number}", self.revision, born_ms=self.born_ms[number] - 700)
@@ -502,7 +502,7 @@
         self._keep_copy()
         self.revision += 1
         del self.content[key]
-        self.pending.append(news.Removed(key, self.revision, self.era))
+        self.pending.append(source.Removed(key, self.revision, self.era))
         self.owed.pop(key, None)
 
     @stateful.rule(
@@ -540,21 +540,21 @@
     def deliver_changes(self):
         if self.synced:
             self.view.source_regained()
-            changes = news.Changes(tuple(self.pending), self.revision, era=self.era)
+            changes = source.Changes(tuple(self.pending), self.revision, era=self.era)
             self.view.take_changes(changes)
             self._learn(self.pending)
             self.pending = []
 
     def _learn(self, changes):
         for each in changes:
-            if isinstance(each, news.Written) and each.key.startswith("r/"):
+            if isinstance(each, source.Written) and each.key.startswith("r/"):
                 self.learnt.add((int(each.key[3:]), each.value.born_ms))
 
     @stateful.rule()
     def read_anew(self):
         self.view.source_regained()
         written = tuple(self.content.values())
-        self.view.take_snapshot(news.Snapshot(written, self.revision, self.era))
+        self.view.take_snapshot(source.Snapshot(written, self.revision, self.era))
         self._learn(written)
         self.pending, self.synced = [], True
 
@@ -565,7 +565,7 @@
     @stateful.rule(seconds=strategies.floats(0.1, 5.0))
     def wait(self, seconds):
         self.clock.now_s += seconds
-        self.view.settle()
+        self.view.expire_held()
 
     @stateful.invariant()
     def versions_only_rise(self):
@@ -575,7 +575,12 @@
 
     @stateful.invariant()
     def settles_on_the_truth(self):
-        if self.pending or self.owed or not self.synced or self.view._away_since_s is not None:
+        if (
+            self.pending
+            or self.owed
+            or not self.synced
+            or self.view._unreachable_since_s is not None
+        ):
             return
         if self.view._held:
             return
@@ -583,7 +588,7 @@
         expected = {
             key[2:]
             for key, each in self.content.items()
-            if key.startswith("r/") and isinstance(each, news.Written)
+            if key.startswith("r/") and isinstance(each, source.Written)
         }
         assert self.view.replicas.instances() == expected
         for each in self.view.replicas.all():
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -104,15 +104,16 @@
     mutant.one(
         "gone-at-once",
         "entry/view.py",
-        "            if lost or hold and not isinstance(written.value, news.Evacuation):\n",
+        "            if lost or hold and not isinstance(written.value, source.Evacuation):\n",
         "            if not key:\n",
         "entry/test_view.py::test_entries_that_lapse_with_the_store_are_kept_for_their_return",
     ),
     mutant.one(
         "history-lost-for-good",
         "entry/follower.py",
-        "            position = None\n        except news.SourceError",
-        "            position = position or news.Position(0, 0)\n        except news.SourceError",
+        "            position = None\n        except source_module.SourceError",
+        "            position = position or source_module.Position(0, 0)\n"
+        "        except source_module.SourceError",
         "entry/test_follower.py::test_following",
     ),
     mutant.one(
@@ -153,8 +154,8 @@
     mutant.one(
         "trust-a-stale-relay",
         "entry/relay.py",
-        "            if told.changes.age_s < STALE_S and",
-        "            if told.changes.age_s < 1000 * STALE_S and",
+        "            if told.changes.age_s < MAX_AGE_S and",
+        "            if told.changes.age_s < 1000 * MAX_AGE_S and",
         "entry/test_relay.py::test_relays_that_fail_are_passed_by",
     ),
     mutant.one(
@@ -197,29 +198,29 @@
     mutant.one(
         "old-removals-count",
         "entry/view.py",
-        "                if self._is_newer(change):",
-        "                if change.key in self._keys:",
+        "                if self._is_newer_removal(change):",
+        "                if change.key in self._known:",
         "entry/test_view.py::test_a_removal_older_than_the_entry_is_passed_over",
     ),
     mutant.one(
         "news-told-plainly",
-        "entry/news_codec.py",
-        "zlib.compress(content, 1) if len(content) > COMPRESS_FROM_BYTES else content",
+        "entry/relay_codec.py",
+        "zlib.compress(content, 1) if len(content) > COMPRESSION_THRESHOLD_BYTES else content",
         "content",
         "entry/test_relay.py::test_a_large_configuration_is_told_in_few_bytes",
     ),
     mutant.one(
         "store-asked-by-all-while-away",
         "entry/relay.py",
-        "        if has_relays and now_s < self._direct_from_s:",
+        "        if has_relays and now_s < self._source_retry_at_s:",
         "        if False:",
         "entry/test_relay.py::test_the_store_is_left_alone_while_it_is_away_for_all",
     ),
     mutant.one(
         "one-relay-only",
         "entry/relay.py",
-        "RELAYS = 2\n",
-        "RELAYS = 1\n",
+        "RELAY_COUNT = 2\n",
+        "RELAY_COUNT = 1\n",
         "entry/test_relay.py::test_the_second_relay_stands_by",
     ),
     mutant.one(
@@ -267,14 +268,14 @@
     mutant.one(
         "changes-followed-over-a-return",
         "platform/store.py",
-        "        if answer.era != after.era:\n            raise news.HistoryLostError\n",
+        "        if answer.era != after.era:\n            raise source.HistoryLostError\n",
         "",
         "platform/test_store.py::test_changes_are_not_followed_over_a_return_from_a_copy",
     ),
     mutant.one(
         "question-of-a-known-past",
         "platform/store.py",
-        "        if after.era < self.era:\n            raise news.HistoryLostError\n",
+        "        if after.era < self.era:\n            raise source.HistoryLostError\n",
         "",
         "platform/test_store.py"
         "::test_changes_are_not_followed_over_a_return_from_a_copy[_known]",
@@ -304,15 +305,15 @@
     mutant.one(
         "lease-trusted-after-a-return",
         "entry/follower.py",
-        "    standing.lose()\n\n\nasync def _end",
-        "\n\nasync def _end",
+        "    standing.reset()\n\n\nasync def _end_lease",
+        "\n\nasync def _end_lease",
         "entry/test_follower.py"
         "::test_a_registration_is_checked_when_the_source_has_returned_from_a_copy",
     ),
     mutant.one(
         "taken-out-for-good",
-        "entry/absence.py",
-        "[*view.entries(missed), *_shown_again(view, taken_out)]",
+        "entry/deregistration.py",
+        "[*view.entries(missed), *_reappeared(view, taken_out)]",
         "[*view.entries(missed)]",
         "integration/test_store_returns.py"
         "::test_an_entry_that_was_taken_out_stays_out_when_the_store_has_returned[killed]",
@@ -351,7 +352,7 @@
     mutant.one(
         "missing-is-gone-after-a-return",
         "entry/view.py",
-        "self._era_changed_s = self._returned_s = self._now_s()",
+        "self._era_changed_s = self._recovered_s = self._now_s()",
         "pass",
         "entry/test_view.py::test_what_a_copy_has_not_is_held_until_it_is_written_again",
     ),
@@ -378,11 +379,11 @@
     ),
     mutant.one(
         "every-count-kept",
-        "entry/recent.py",
-        "        while self._falling and self._falling[-1][1] <= value:\n"
-        "            self._falling.pop()\n",
+        "entry/sliding_maximum.py",
+        "        while self._descending and self._descending[-1][1] <= value:\n"
+        "            self._descending.pop()\n",
         "",
-        "entry/test_recent.py::test_how_many_are_held",
+        "entry/test_sliding_maximum.py::test_how_many_are_held",
     ),
     mutant.one(
         "settings-of-the-start",
@@ -422,14 +423,14 @@
     mutant.one(
         "older-start-comes-back",
         "entry/view.py",
-        "        if self._is_of_older_start(written, known):\n            return\n",
+        "        if self._is_from_older_start(written, known):\n            return\n",
         "",
         "entry/test_view.py::test_an_older_start_that_is_told_late_changes_nothing",
     ),
     mutant.one(
         "unreadable-entry-leaves-the-good-one",
         "entry/view.py",
-        "            self._forget(unreadable.key, unreadable.revision)\n",
+        "            self._delete(unreadable.key, unreadable.revision)\n",
         "",
         "entry/test_view.py::test_an_entry_that_becomes_unreadable_names_no_replica",
     ),
@@ -636,7 +637,7 @@
     mutant.one(
         "hold-an-evacuation-taken-back",
         "entry/view.py",
-        "            if lost or hold and not isinstance(written.value, news.Evacuation):",
+        "            if lost or hold and not isinstance(written.value, source.Evacuation):",
         "            if lost or hold:",
         "entry/test_view.py::test_an_evacuation_is_in_force_until_its_key_goes",
     ),
--- a/tests/platform/test_decode.py
+++ b/tests/platform/test_decode.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies
 
 from turmericlug.direct import routes
-from turmericlug.entry import news
+from turmericlug.entry import source
 from turmericlug.http1 import messages
 from turmericlug.platform import decode
 
@@ -120,7 +120,7 @@
     """
     content = json.dumps(plain).encode()
     found = decode.change("servers/i-1", content, 5)
-    assert isinstance(found, news.Unreadable)
+    assert isinstance(found, source.Unreadable)
     assert (found.key, found.revision, found.content) == ("servers/i-1", 5, content)
     assert found.reason
 
@@ -142,7 +142,7 @@
 )
 @pytest.mark.parametrize("key", ["servers/i-1", "op/config", "turmericlug/instances/e-1"])
 def test_bytes_that_cannot_be_read_name_nothing(key, content):
-    assert isinstance(decode.change(key, content, 5), news.Unreadable)
+    assert isinstance(decode.change(key, content, 5), source.Unreadable)
 
 
 @pytest.mark.parametrize("instance", ["", "i 1", "i\r\nx-other: 1", "i\u00e9", "i\x7f"])
@@ -152,12 +152,12 @@
     with each request, where it would begin another header.
     """
     content = json.dumps(GOOD).encode()
-    assert isinstance(decode.change(f"servers/{instance}", content, 5), news.Unreadable)
+    assert isinstance(decode.change(f"servers/{instance}", content, 5), source.Unreadable)
 
 
 @pytest.mark.parametrize("text", ["?", "abc", "aGk", "aGk=x", "\u00e9"])
 def test_values_that_are_not_the_stores_text_form(text):
-    assert isinstance(decode.change("servers/i-1", text, 5), news.Unreadable)
+    assert isinstance(decode.change("servers/i-1", text, 5), source.Unreadable)
 
 
 JSON = strategies.recursive(
@@ -180,7 +180,7 @@
 def test_whatever_is_read_of_an_entry_can_be_used(changes, left_out):
     plain = {key: each for key, each in (GOOD | changes).items() if key not in left_out}
     found = decode.change("servers/i-1", json.dumps(plain).encode(), 5)
-    if isinstance(found, news.Unreadable):
+    if isinstance(found, source.Unreadable):
         assert changes or left_out
         return
     entry = found.value
--- a/tests/platform/test_fields.py
+++ b/tests/platform/test_fields.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies
 
 from turmericlug.direct import load
-from turmericlug.entry import news
+from turmericlug.entry import source
 from turmericlug.platform import decode
 from turmericlug.platform import fields
 from turmericlug.platform import names
@@ -29,7 +29,7 @@
     )
     plain["Services"][0] |= service or {}
     found = decode.change("op/config", json.dumps(plain | changes).encode(), 1)
-    assert isinstance(found, news.Written), found
+    assert isinstance(found, source.Written), found
     return found
 
 
@@ -143,7 +143,7 @@
     plain["Services"][0]["WarmupPerS"] = rate
     plain["Tenants"] = [{"Name": "o", "ApiKeys": ["k"], "AllowedRegions": organisations}]
     found = decode.change("op/config", json.dumps(plain).encode(), 1)
-    assert isinstance(found, news.Written)
+    assert isinstance(found, source.Written)
     assert found.value.match("h.example", "/r/1") is not None
 
 
@@ -151,7 +151,7 @@
 def test_an_evacuation_is_told_by_its_key_whatever_its_value(content):
     """An evacuation whose value was not an object would have been taken for unreadable."""
     found = decode.change("op/evacuate/dc-2", content, 7)
-    assert found.value == news.Evacuation("dc-2")
+    assert found.value == source.Evacuation("dc-2")
 
 
 def test_the_form_of_a_damaged_field_is_told():
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -8,11 +8,11 @@
 import pytest
 import standin_platform
 
-from turmericlug.entry import news
+from turmericlug.entry import source
 from turmericlug.platform import store as store_module
 from turmericlug.telemetry import counters
 
-OWN = news.EntryInstance("e-1", "10.0.0.1:80", "dc-1", "region-1")
+OWN = source.EntryInstance("e-1", "10.0.0.1:80", "dc-1", "region-1")
 
 
 @contextlib.asynccontextmanager
@@ -76,7 +76,9 @@
             await asyncio.sleep(0.02)
             standin.remove("servers/i-0")
             changes = await waiting
-            assert changes.changes == (news.Removed("servers/i-0", standin.revision, standin.era),)
+            assert changes.changes == (
+                source.Removed("servers/i-0", standin.revision, standin.era),
+            )
             assert (await store.changes(changes.position, 0.01)).changes == ()
 
     asyncio.run(main())
@@ -87,8 +89,8 @@
         async with connected() as (standin, store):
             write_some(standin, 1)
             standin.forget_history()
-            with pytest.raises(news.HistoryLostError):
-                await store.changes(news.Position(standin.era, 1), 0.01)
+            with pytest.raises(source.HistoryLostError):
+                await store.changes(source.Position(standin.era, 1), 0.01)
 
     asyncio.run(main())
 
@@ -104,7 +106,7 @@
     waiting = asyncio.create_task(store.changes(after, 20.0))
     await asyncio.sleep(0.05)
     returned(standin)
-    with pytest.raises(news.SourceError):
+    with pytest.raises(source.SourceError):
         await waiting
     return await store.changes(after, 0.01)
 
@@ -138,7 +140,7 @@
 
 async def _reconnected(standin, store, after):
     """Ask on a new connection, as the old one was cut, when nothing told of the return."""
-    with pytest.raises(news.SourceError):
+    with pytest.raises(source.SourceError):
         standin.fault = "busy"
         await store.changes(after, 0.01)
     standin.fault = None
@@ -156,7 +158,7 @@
         async with connected() as (standin, store):
             write_some(standin, 3)
             snapshot = await store.read_all(may_be_stale=False)
-            with pytest.raises(news.HistoryLostError):
+            with pytest.raises(source.HistoryLostError):
                 await ask(standin, store, snapshot.position)
             again = await store.read_all(may_be_stale=False)
             assert again.era == snapshot.era + 1
@@ -173,7 +175,7 @@
             write_some(standin, 5)
             standin.page = 3
             standin.on_page = lambda: returned(standin)
-            with pytest.raises(news.SourceError) as error:
+            with pytest.raises(source.SourceError) as error:
                 await store.read_all(may_be_stale=False)
             assert error.value.reason == "returned_from_copy"
 
@@ -228,7 +230,7 @@
             write_some(standin, 1)
             await store.read_all(may_be_stale=False)
             standin.told_era = b"0"
-            with pytest.raises(news.SourceError) as error:
+            with pytest.raises(source.SourceError) as error:
                 await store.lease(3.0)
             assert error.value.reason == "older_era"
 
@@ -246,7 +248,7 @@
             await store.end(lease)
             assert (await store.read_all(may_be_stale=False)).written == ()
             for call in (store.keep(lease), store.register(OWN, lease)):
-                with pytest.raises(news.LeaseEndedError):
+                with pytest.raises(source.LeaseEndedError):
                     await call
 
     asyncio.run(main())
@@ -275,8 +277,8 @@
 def test_no_more_keys_are_taken_out_than_one_call_may_name():
     async def main():
         async with connected() as (standin, store):
-            entries = [news.Written(f"k/{n}", OWN, 1) for n in range(store_module.MOST_KEYS + 1)]
-            with pytest.raises(news.SourceError):
+            entries = [source.Written(f"k/{n}", OWN, 1) for n in range(store_module.MOST_KEYS + 1)]
+            with pytest.raises(source.SourceError):
                 await store.remove(entries)
             assert standin.calls == []
 
@@ -295,7 +297,7 @@
         async with connected() as (standin, store):
             lease = await store.lease(3.0)
             standin.fault = fault
-            with pytest.raises(news.SourceError) as error:
+            with pytest.raises(source.SourceError) as error:
                 await store._call(b"POST", f"kv-keep/{lease}", {}, timeout_s=0.1)
             assert error.value.reason == reason
             standin.fault = None
@@ -316,13 +318,13 @@
             snapshot = await store.read_all(may_be_stale=False)
             kinds = {each.key: type(each) for each in snapshot.written}
             assert kinds == {
-                "op/config": news.Unreadable,
-                "servers/i-0": news.Written,
-                "servers/i-1": news.Written,
-                "servers/i-9": news.Unreadable,
+                "op/config": source.Unreadable,
+                "servers/i-0": source.Written,
+                "servers/i-1": source.Written,
+                "servers/i-9": source.Unreadable,
             }
             standin.put("servers/i-1", value)
             changes = await store.changes(snapshot.position, 0.01)
-            assert [type(each) for each in changes.changes] == [news.Unreadable]
+            assert [type(each) for each in changes.changes] == [source.Unreadable]
 
     asyncio.run(main())
