--- a/src/turmericlug/entry/deregistration.py
+++ b/src/turmericlug/entry/deregistration.py
@@ -1,4 +1,4 @@
-"""Taking out the entries of instances that are missed."""
+"""Deregister instances that have fallen silent."""
 
 from __future__ import annotations
 
@@ -13,11 +13,13 @@
 from turmericlug.telemetry import decisions
 
 CHECK_INTERVAL_S = 0.5
-"""Adds to the 3 s of silence for which callers are told an instance that has ended."""
+"""How often to look for silent instances. Callers are given the address of an ended instance for
+this time on top of the 3 s of silence."""
 MAX_BATCH = 16
-"""Entries taken out by one call: half of what a source may have to take."""
+"""Entries removed by one call: half of what the source accepts in one call."""
 MAX_REMEMBERED = 256
-"""Entries taken out lately: a copy from which the source returns is some seconds old."""
+"""Entries removed recently that are remembered, in case the source is restored from a copy that
+still holds them; such a copy is some seconds old."""
 
 
 async def deregister_silent(
@@ -27,21 +29,21 @@
     counters: counters_module.Counters,
 ) -> None:
     """
-    Look for ever for instances that have fallen silent, and take out their entries.
+    Remove the entries of silent instances from the source, until cancelled.
 
-    An instance that lives all the same (only its connection here was lost) sees that as news and
-    registers again. An entry that was taken out and is shown again, as the source has returned from
-    a copy, is taken out again.
+    An instance that still runs, and has only lost its connection to this one, receives the removal
+    as a change and registers again. An entry that reappears because the source has been restored
+    from a copy is removed again.
     """
     loop = asyncio.get_running_loop()
-    taken_out: collections.OrderedDict[str, source_module.Written] = collections.OrderedDict()
+    removed_entries: collections.OrderedDict[str, source_module.Written] = collections.OrderedDict()
     while True:
         await asyncio.sleep(CHECK_INTERVAL_S)
         if view.source_unreachable or view.source_age_s() > relay.MAX_AGE_S:
-            # Cut off, or just awake: it is this instance that is missing.
+            # This instance itself is cut off, or has just resumed after a pause.
             continue
-        missed = relayed.silent_instances(loop.time())
-        entries = [*view.entries(missed), *_reappeared(view, taken_out)][:MAX_BATCH]
+        silent = relayed.silent_instances(loop.time())
+        entries = [*view.entries(silent), *_reappeared(view, removed_entries)][:MAX_BATCH]
         if not entries:
             continue
         names = [each.value.name for each in entries]
@@ -54,19 +56,19 @@
         decisions.log("instance.missed", names=names, taken_out=removed)
         for name, entry in zip(names, entries, strict=True):
             relayed.attendance.forget(name)
-            taken_out[name] = entry
-            if len(taken_out) > MAX_REMEMBERED:
-                taken_out.popitem(last=False)
+            removed_entries[name] = entry
+            if len(removed_entries) > MAX_REMEMBERED:
+                removed_entries.popitem(last=False)
 
 
 def _reappeared(
-    view: view_module.View, taken_out: abc.Mapping[str, source_module.Written]
+    view: view_module.View, removed_entries: abc.Mapping[str, source_module.Written]
 ) -> list[source_module.Written]:
-    """Return the entries that are shown in a later era as they were when they were taken out."""
+    """Return the removed entries that a later era holds again, unchanged."""
     return [
         each
-        for each in view.entries(taken_out)
-        if each.era > taken_out[each.value.name].era
+        for each in view.entries(removed_entries)
+        if each.era > removed_entries[each.value.name].era
         and (each.revision, each.value)
-        == (taken_out[each.value.name].revision, taken_out[each.value.name].value)
+        == (removed_entries[each.value.name].revision, removed_entries[each.value.name].value)
     ]
--- a/src/turmericlug/entry/differences.py
+++ b/src/turmericlug/entry/differences.py
@@ -1,4 +1,4 @@
-"""How what the source tells differs from what is known of it."""
+"""Compare snapshots and changes from the source with the entries already known."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from turmericlug.telemetry import decisions
 
 Known = abc.Mapping[str, source.Written | source.Unreadable]
-"""What the source was last heard to hold, by key."""
+"""The last known state of each key in the source."""
 
 
 def between(known: Known, snapshot: source.Snapshot) -> source.Changes:
-    """Return what a fresh reading tells that was not known, as changes."""
+    """Return the changes that lead from the known entries to a fresh snapshot."""
     present = {written.key for written in snapshot.written}
     written = [
         each
@@ -29,16 +29,16 @@
 def _is_change(
     written: source.Written | source.Unreadable, known: source.Written | source.Unreadable
 ) -> bool:
-    """Whether an entry is another one than is known; in a new era, most are just the same."""
+    """Whether an entry differs from the known one; most are unchanged in a new era."""
     same = (written.revision, written.content) == (known.revision, known.content)
     return known.position < written.position and not same
 
 
 def log_outdated(known: Known, changes: abc.Iterable[source.Change], revision: int) -> None:
     """
-    Log what is told of no later position than what is known, as one line.
+    Log changes whose position is not later than that of the known entry, all in one line.
 
-    :param revision: up to which the changes are told
+    :param revision: the revision up to which the source has reported changes
     """
     found = [each for each in changes if each.key in known and _is_outdated(each, known[each.key])]
     if found:
--- a/src/turmericlug/entry/follower.py
+++ b/src/turmericlug/entry/follower.py
@@ -1,4 +1,4 @@
-"""Following the source: one reading, then changes; and this instance's own entry there."""
+"""Watch the source (one full read, then changes) and keep this instance registered there."""
 
 from __future__ import annotations
 
@@ -16,29 +16,31 @@
 from turmericlug.telemetry import decisions
 
 CHANGES_WAIT_S = 3.0
-"""How long one question for changes waits. A connection that went silent is found out after it,
-about as soon as a configuration has to be in force (3 to 4 s)."""
+"""How long one request for changes waits. A silent connection is detected after this time, which
+matches the time within which a configuration has to be in force (3 to 4 s)."""
 CHANGES_INTERVAL_S = 0.25
 CHANGES_INTERVAL_MANY_S = 0.6
-"""Least time between two questions, and where instances are many and bounds are 5 s. Each change
-otherwise costs a call of every instance, of which many replicas starting at once make hundreds."""
+"""Minimum time between two requests for changes; the longer one applies where there are many
+instances and the time limit is 5 s. Without a pause each change costs one call per instance, and
+many replicas that start at once cause hundreds of changes."""
 RETRY_MIN_S = 0.1
 RETRY_MAX_S = 0.5
-"""Pause after a failure: short against the bound of a configuration, and drawn at random so that
-instances that lost the source together do not return together."""
+"""Delay after a failure: short compared with the time within which a configuration has to be in
+force, and random so that instances that lost the source together do not reconnect together."""
 LEASE_S = 8.0
-"""An instance that ends while nobody in its data centre can take its entry out is told to callers
-for this long. It outlasts an outage of 5 s, after which all would have to register anew."""
+"""How long callers are given the address of an instance that has ended while no other instance in
+its data centre can deregister it. The lease outlasts a source outage of 5 s; otherwise all
+instances would have to register again after one."""
 RENEWAL_INTERVAL_S = 2.6
-"""A third of the lease: one renewal may fail."""
+"""About a third of the lease, so that one renewal may fail."""
 RELAY_RENEWAL_INTERVAL_S = 0.8
-"""Of an instance that others rely on: what it tells them is as old as its last word with the
-source, and not trusted from 1.6 s on."""
+"""Renewal interval of a relay. The age of the changes that a relay passes on counts from its last
+answer from the source, and other instances reject them from 1.6 s (``relay.MAX_AGE_S``) on."""
 RENEWAL_RETRY_S = 1.3
-"""After a call that failed: four more tries fit into a lease. Sooner, all instances ask a source
-that is away for nothing."""
+"""Interval after a failed call: four more attempts fit into a lease. A shorter one only adds load
+from all instances on a source that is unreachable."""
 CHECK_INTERVAL_S = 0.2
-"""How soon an instance whose entry was taken out finds that out."""
+"""How often an instance checks whether its entry has been removed."""
 
 
 async def follow(
@@ -50,14 +52,14 @@
     rng: random.Random,
 ) -> None:
     """
-    Keep the view up to date for ever.
+    Keep the view up to date until cancelled.
 
-    The first reading may be stale: the question for changes since then brings the rest at once, and
-    it costs the source a tenth. A later one has to be fresh, as what is missing in it is taken for
-    gone.
+    The first snapshot may be stale: the following request for changes brings the rest at once, and
+    a stale read costs the source a tenth of a fresh one. Later snapshots have to be fresh, because
+    entries missing from them are treated as removed.
 
-    :param changes_of: asks for the changes after a position, the source or an instance near by
-    :param journal: told of all news, for passing them on
+    :param changes_of: requests the changes after a position, from the source or a nearby instance
+    :param journal: receives all changes, to serve them to other instances
     """
     position: source_module.Position | None = None
     known = False
@@ -102,10 +104,10 @@
     snapshot: source_module.Snapshot, view: view_module.View, journal: journal_module.Journal
 ) -> None:
     """
-    Let the journal go on over a reading after lost history.
+    Continue the journal with what a new snapshot changes.
 
-    Begun anew, it sent every instance that asked for what was before to the source, for a whole
-    fresh reading each.
+    A journal restarted after lost history cannot answer requests for earlier positions, so that
+    every instance that asks for one has to take a full fresh snapshot from the source.
     """
     if journal.position is None:
         journal.restart(snapshot.position)
@@ -131,21 +133,21 @@
 
 @attrs.define
 class _Registration:
-    """How this instance's entry stands in the source."""
+    """The registration of this instance in the source."""
 
     lease: int | None = None
     written: bool = False
-    """Whether the entry was written under the lease, as far as is known."""
+    """Whether the entry is known to have been written under the lease."""
     era: int = 0
-    """In which the source last showed that."""
+    """The era in which the source last confirmed that."""
 
     def reset(self) -> None:
-        """Count on nothing that was acknowledged."""
+        """Discard the acknowledged lease and entry."""
         self.lease = None
         self.written = False
 
     def is_older_than(self, era: int) -> bool:
-        """Whether an entry was last shown in an era before one."""
+        """Whether the registration was last confirmed before the given era."""
         return self.lease is not None and era > self.era
 
 
@@ -154,69 +156,70 @@
     view: view_module.View,
     own: source_module.EntryInstance,
     may_serve: abc.Callable[[], bool],
-    tells_others: abc.Callable[[], bool],
+    serves_peers: abc.Callable[[], bool],
     rng: random.Random,
 ) -> None:
     """
-    Keep this instance's entry in the source while it may serve, and take it out at the end.
+    Keep this instance registered in the source while it may serve, and deregister it at the end.
 
-    The entry can vanish without a failed renewal (its lease was ended, or another instance missed
-    this one); the view sees that as news. An entry that has outlived this instance's last start is
-    taken over with its lease, for a renewal instead of two writes.
+    The entry can be removed without a failed renewal (its lease was ended, or another instance
+    found this one silent); the view receives that as a change. An entry left by the previous run of
+    this instance is adopted together with its lease, which takes one renewal instead of two writes.
 
-    :param tells_others: whether others rely on how lately this instance has heard from the source
+    :param serves_peers: whether other instances use this one as a relay, and so depend on how
+        recently the source has answered it
     """
     loop = asyncio.get_running_loop()
     while not may_serve():
         await asyncio.sleep(0.05)
     lease = view.lease_of(own)
-    standing = _Registration(lease, lease is not None, view.era)
+    registration = _Registration(lease, lease is not None, view.era)
     try:
         while True:
             tried_s = loop.time()
-            worked = await _renew(source, view, own, standing)
+            succeeded = await _renew(source, view, own, registration)
             jitter = rng.uniform(0.8, 1.2)
-            while not (view.own_entry_removed or standing.is_older_than(view.era)):
-                every_s = RENEWAL_RETRY_S if not worked else RENEWAL_INTERVAL_S
-                every_s = min(every_s, RELAY_RENEWAL_INTERVAL_S) if tells_others() else every_s
+            while not (view.own_entry_removed or registration.is_older_than(view.era)):
+                every_s = RENEWAL_RETRY_S if not succeeded else RENEWAL_INTERVAL_S
+                every_s = min(every_s, RELAY_RENEWAL_INTERVAL_S) if serves_peers() else every_s
                 left_s = tried_s + every_s * jitter - loop.time()
                 if left_s <= 0:
                     break
                 await asyncio.sleep(min(left_s, CHECK_INTERVAL_S))
     finally:
-        if standing.lease is not None:
-            await _end_lease(source, standing.lease)
+        if registration.lease is not None:
+            await _end_lease(source, registration.lease)
 
 
 async def _renew(
     source: source_module.Source,
     view: view_module.View,
     own: source_module.EntryInstance,
-    standing: _Registration,
+    registration: _Registration,
 ) -> bool:
-    """Renew the lease, or open one and write the entry, as is due; false when that failed."""
-    _revalidate(source, view, own, standing)
+    """Renew the lease, or open one and write the entry, whichever is due; false on failure."""
+    _revalidate(source, view, own, registration)
     while True:
         try:
-            if standing.lease is None:
-                standing.lease = await source.lease(LEASE_S)
-                standing.era = max(source.era, view.era)
-                standing.written = False
-            if standing.written:
-                await source.keep(standing.lease)
+            if registration.lease is None:
+                registration.lease = await source.lease(LEASE_S)
+                registration.era = max(source.era, view.era)
+                registration.written = False
+            if registration.written:
+                await source.keep(registration.lease)
             else:
-                await source.register(own, standing.lease)
-                if source.era > standing.era:
-                    # The number of the lease may be another instance's by now.
-                    standing.reset()
+                await source.register(own, registration.lease)
+                if source.era > registration.era:
+                    # The lease number may belong to another instance now.
+                    registration.reset()
                     continue
-                standing.written = True
-                decisions.log("instance.registered", lease=standing.lease)
+                registration.written = True
+                decisions.log("instance.registered", lease=registration.lease)
             view.source_regained()
             return True
         except source_module.LeaseEndedError:
-            decisions.log("instance.lease_ended", lease=standing.lease)
-            standing.lease = None
+            decisions.log("instance.lease_ended", lease=registration.lease)
+            registration.lease = None
         except source_module.SourceError as error:
             view.source_lost(error.reason)
             return False
@@ -225,7 +228,7 @@
 async def stay_unregistered(
     source: source_module.Source, view: view_module.View, name: str
 ) -> None:
-    """Take an ended entry out again if the source returns from a copy that still has it."""
+    """Remove this instance's entry again if the source is restored from a copy that holds it."""
     ended_era = source.era
     while True:
         await asyncio.sleep(CHECK_INTERVAL_S)
@@ -244,22 +247,23 @@
     source: source_module.Source,
     view: view_module.View,
     own: source_module.EntryInstance,
-    standing: _Registration,
+    registration: _Registration,
 ) -> None:
     """
-    Check what was acknowledged before the source returned from a copy against what it shows now.
+    Check a registration from before the source was restored against its present content.
 
-    The entry and the lease may be lost, and the lease's number given to another instance.
+    A restored copy may lack the entry and the lease, and the source may have given the lease number
+    to another instance.
     """
     if view.own_entry_removed:
-        view.own_entry_removed = standing.written = False
-    if not standing.is_older_than(view.era) or source.era > view.era:
+        view.own_entry_removed = registration.written = False
+    if not registration.is_older_than(view.era) or source.era > view.era:
         return
-    if view.lease_of(own) == standing.lease:
-        standing.era = view.era
+    if view.lease_of(own) == registration.lease:
+        registration.era = view.era
         return
-    decisions.log("instance.registration_lost", lease=standing.lease, era=view.era)
-    standing.reset()
+    decisions.log("instance.registration_lost", lease=registration.lease, era=view.era)
+    registration.reset()
 
 
 async def _end_lease(source: source_module.Source, lease: int) -> None:
--- a/src/turmericlug/entry/journal.py
+++ b/src/turmericlug/entry/journal.py
@@ -1,4 +1,4 @@
-"""The latest news of the source, kept for the instances that ask this one for them."""
+"""A bounded history of the source's changes, served to the instances that use this one as relay."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 
 
 class Journal:
-    """The latest changes, for those that ask what has happened since a position."""
+    """The latest changes, to answer requests for all changes after a position."""
 
     def __init__(self) -> None:
         self._changes: collections.deque[source.Change] = collections.deque(maxlen=MAX_CHANGES)
         self._known_from: source.Position | None = None
         self.position: source.Position | None = None
-        """Up to where changes are known; ``None`` before the first reading."""
+        """The position up to which changes are known; ``None`` before the first snapshot."""
         self._eras: dict[int, tuple[int, float]] = {}
-        """Between which revisions of each era the changes are known here."""
+        """First and last revision of each era between which all changes are known."""
         self._arrived = asyncio.Event()
 
     def restart(self, position: source.Position) -> None:
-        """Know nothing of what was before a position."""
+        """Drop all changes and continue from a position."""
         self._changes.clear()
         self._known_from = self.position = position
         self._eras = {position.era: (position.revision, math.inf)}
 
     def add(self, changes: source.Changes) -> None:
         """
-        Take note of changes, in order.
+        Append changes, in order.
 
-        The first ones of an era are what a whole reading has changed: from its position on, and
-        from what was known of the era before, others can go on here.
+        The first changes of an era are the difference that a full snapshot made. Requests can
+        continue from the position of that snapshot, and from any known position of the era before.
         """
         if self.position is None:
             self.restart(changes.position)
             return
         if changes.era > self.position.era:
-            begun, _ = self._eras[self.position.era]
-            self._eras[self.position.era] = (begun, self.position.revision)
+            first, _ = self._eras[self.position.era]
+            self._eras[self.position.era] = (first, self.position.revision)
             self._eras[changes.era] = (changes.revision, math.inf)
         for change in changes.changes:
             if len(self._changes) == MAX_CHANGES:
@@ -54,9 +54,9 @@
 
     async def since(self, after: source.Position, wait_s: float) -> source.Changes:
         """
-        Return the changes after a position, waiting for one if there is none.
+        Return the changes after a position; wait for one if there is none yet.
 
-        :raises HistoryLostError: they are not all known
+        :raises HistoryLostError: some of them are no longer known
         """
         position = self._position_for(after)
         if position <= after:
@@ -72,12 +72,12 @@
 
     def _position_for(self, after: source.Position) -> source.Position:
         """
-        Return up to where changes are known, for somebody who knows them up to a position.
+        Return the latest known position, for a client that is at position ``after``.
 
-        :raises HistoryLostError: some of those between are not known
+        :raises HistoryLostError: some changes between the two are not known
         """
-        begun, ended = self._eras.get(after.era, (math.inf, -math.inf))
-        known = begun <= after.revision <= ended
+        first, last = self._eras.get(after.era, (math.inf, -math.inf))
+        known = first <= after.revision <= last
         if self.position is None or self._known_from is None or not known:
             raise source.HistoryLostError
         if after < self._known_from:
--- a/src/turmericlug/entry/relay.py
+++ b/src/turmericlug/entry/relay.py
@@ -1,11 +1,12 @@
 """
-Passing news on between the instances of a data centre.
-
-The load pattern: instances that each follow the store make one call each for every change. So one
-instance of a data centre asks the store, and the others ask that one. A second one stands by: it
-asks the first like all others, and the store when that fails, and whoever can't use the first asks
-it. What either says carries the age of the news: an instance that gets none young enough asks the
-store itself within 1.9 s. The shortest time in which a configuration has to be in force is 3 s.
+Relay changes between the instances of a data centre.
+
+If every instance watched the store itself, each change would cost one call per instance. Instead,
+one instance of a data centre, the first relay, requests changes from the store, and the others
+request them from it. The second relay is a standby: it uses the first one like all others, turns to
+the store if that fails, and serves the instances that cannot use the first. Each reply carries its
+age: an instance that gets no recent enough reply asks the store itself within 1.9 s. The shortest
+time within which a configuration has to be in force is 3 s.
 """
 
 from __future__ import annotations
@@ -29,23 +30,26 @@
 from turmericlug.telemetry import decisions
 
 PATH = b"/news/"
-"""``/news/ERA.REVISION/WAIT_MS/NAME``: what has changed since, asked by the instance named."""
+"""``/news/ERA.REVISION/WAIT_MS/NAME``: requests the changes since a position; NAME is the
+requesting instance."""
 WAIT_S = 1.0
-"""A relay that died is found out after it and the slack, well within 4 s."""
+"""How long a relay waits for changes before it replies. A failed relay is detected after this time
+and the slack, well within 4 s."""
 TIMEOUT_SLACK_S = 0.4
+"""Time for the reply of a relay on top of the wait."""
 MAX_AGE_S = 1.6
-"""A relay hears from the source each second at the latest, by renewing its lease; a slow answer
-more is too long."""
+"""Replies older than this are rejected. A relay gets an answer from the source at least every
+second, as it renews its lease; the limit allows for one slow answer on top."""
 RELAY_COUNT = 2
-"""With one alone, its end sent all others of its data centre to the source."""
+"""With a single relay, its failure sent all other instances of its data centre to the source."""
 SKIP_S = 4.0
-"""Time for which a relay is not asked that failed twice in a row: its entry is gone by then."""
+"""How long a relay is skipped after two failures in a row; by then its entry is removed."""
 FAILURES_TO_SKIP = 2
-"""One failure may be that of a connection that went silent; the next question opens another."""
+"""A single failure may be due to a silent connection; the next request opens a new one."""
 BACKOFF_MIN_S = 0.5
 BACKOFF_MAX_S = 2.0
-"""Pause of an instance between two questions to a source that did not answer it. Its relays ask
-more often, and tell at once when the source is back."""
+"""Bounds of the delay, doubled after each failure, before an instance that has relays asks an
+unresponsive source again. The relays ask more often, and report at once when it is reachable."""
 
 
 def handler(
@@ -53,19 +57,19 @@
     source_age_s: abc.Callable[[], float],
     attendance: attendance_module.Attendance,
 ) -> messages.Handler:
-    """Return the handler of questions for news."""
+    """Return the handler of requests for changes."""
 
     async def handle(request: messages.Request) -> messages.Answer:
-        place, _, rest = request.target.removeprefix(PATH).partition(b"/")
+        position, _, rest = request.target.removeprefix(PATH).partition(b"/")
         wait_ms, _, name = rest.partition(b"/")
-        after = _position(place)
+        after = _position(position)
         if not (after and wait_ms.isdigit() and name):
             return messages.Answer(404)
         attendance.heard(name.decode("latin-1"), asyncio.get_running_loop().time())
         try:
-            # Told as soon as they are too old: an instance that waited a second first, with news
-            # that were a little younger than the limit, asked the source itself 3 s after the relay
-            # lost it, when a configuration should have been in force.
+            # Reply as soon as the age limit is reached: an instance that waited a full second for a
+            # relay just below the limit asked the source only 3 s after the relay had lost it, when
+            # a configuration should already have been in force.
             fresh_s = max(MAX_AGE_S - source_age_s(), 0.0)
             wait_s = min(WAIT_S, int(wait_ms) / 1000, fresh_s)
             changes = await journal.since(after, wait_s)
@@ -85,16 +89,16 @@
 
 @attrs.define
 class _Failures:
-    """How a relay has failed of late."""
+    """Recent failures of a relay."""
 
     in_a_row: int = 0
     until_s: float = 0.0
-    """Until when it is not asked."""
+    """The time until which the relay is skipped."""
 
 
 @attrs.define
 class RelayedSource:
-    """A source that asks another instance for changes, where one does that for all."""
+    """A source whose changes are requested from a relay where there is one."""
 
     source: source_module.Source
     decode: relay_codec.Decode
@@ -105,40 +109,40 @@
     rng: random.Random = attrs.field(factory=random.Random)
     _failures: dict[str, _Failures] = attrs.field(factory=dict)
     _source_retry_at_s: float = 0.0
-    """From when the source may be asked directly again."""
+    """The time from which the source may be asked again."""
     _source_failures: int = 0
     _uses_source: bool = True
 
     async def changes(self, after: source_module.Position, wait_s: float) -> source_module.Changes:
         """
-        Wait for changes, from a relay or the source.
+        Wait for changes, from a relay or from the source.
 
-        :raises HistoryLostError: the changes since then are not known any more
-        :raises SourceError: no answer
+        :raises HistoryLostError: some changes since the position are no longer available
+        :raises SourceError: the source gave no usable answer
         """
         relays = self.relays()
         relay_wait_s = WAIT_S
         for relay in relays:
             if self._is_skipped(relay):
                 continue
-            told = await self._ask_relay(relay, after, relay_wait_s)
-            if told is None:
-                # The wait for the next one would add to that for this one.
+            reply = await self._ask_relay(relay, after, relay_wait_s)
+            if reply is None:
+                # A wait at the next relay would add to the time spent on this one.
                 relay_wait_s = 0.0
                 continue
-            if told.lost:
-                # Only the source may know what came before the relay was started.
+            if reply.lost:
+                # Only the source may know the changes from before the relay started.
                 break
-            if told.changes.age_s < MAX_AGE_S and told.changes.era >= after.era:
+            if reply.changes.age_s < MAX_AGE_S and reply.changes.era >= after.era:
                 self.counters.add("relay.answered")
                 self._source_failures = 0
                 self._uses_source = False
-                return told.changes
+                return reply.changes
             self.counters.add("relay.stale")
         return await self._ask_source(after, wait_s, has_relays=bool(relays))
 
     def relays(self) -> list[replica_module.Replica]:
-        """Return the instances to ask, the first of them first; none where this is the first."""
+        """Return the relays to ask, in order; none if this instance is the first relay."""
         names = self._relay_names()
         if names[0] == self.place.name:
             return []
@@ -147,11 +151,11 @@
 
     def silent_instances(self, now_s: float) -> list[str]:
         """
-        Return the instances that this one should hear from and does not.
+        Return the instances that this one should have heard from recently and has not.
 
-        The first relay hears from all others, the second one from the first alone. That is missed
-        only when others have turned to the second one as well, if there are any: else it is the way
-        between the two that is cut.
+        The first relay hears from all others; the second relay only checks the first. If there are
+        other instances, the first relay counts as silent only when some of them have turned to the
+        second one as well; otherwise only the connection between the two relays is broken.
         """
         names = self._relay_names()
         others = [each.entry.instance for each in self.peers.of(self.place.data_centre)]
@@ -164,7 +168,7 @@
         return self.attendance.silent(names[:1], now_s)
 
     def serves_peers(self) -> bool:
-        """Whether others rely on how lately this instance has heard from the source."""
+        """Whether this instance is a relay that requests its changes from the source."""
         return self._uses_source and self.place.name in self._relay_names()
 
     def _relay_names(self) -> list[str]:
@@ -175,7 +179,7 @@
     async def _ask_source(
         self, after: source_module.Position, wait_s: float, has_relays: bool
     ) -> source_module.Changes:
-        """Ask the source; not at once again when it has failed and relays ask it as well."""
+        """Ask the source; after a failure only with a delay if relays ask it as well."""
         now_s = asyncio.get_running_loop().time()
         self._uses_source = True
         if has_relays and now_s < self._source_retry_at_s:
@@ -198,7 +202,7 @@
     async def _ask_relay(
         self, relay: replica_module.Replica, after: source_module.Position, wait_s: float
     ) -> relay_codec.Reply | None:
-        """Ask a relay; ``None`` when it gives no answer."""
+        """Ask a relay; ``None`` if it gives no usable reply."""
         name = self.place.name.encode()
         target = b"%s%d.%d/%d/%s" % (PATH, after.era, after.revision, wait_s * 1000, name)
         request = client.request_bytes(b"GET", target, [(b"host", b"instance")], b"")
@@ -208,14 +212,14 @@
                     response = await connection.exchange(request)
             if response.status != 200:
                 return self._record_failure(relay, f"status_{response.status}")
-            told = relay_codec.decode(response.body, self.decode)
+            reply = relay_codec.decode(response.body, self.decode)
         except (client.ConnectError, client.ExchangeError, relay_codec.MessageError) as error:
             return self._record_failure(relay, str(error))
         except TimeoutError:
             return self._record_failure(relay, "silent")
         self._failures.pop(relay.entry.instance, None)
         self.attendance.heard(relay.entry.instance, asyncio.get_running_loop().time())
-        return told
+        return reply
 
     def _record_failure(self, relay: replica_module.Replica, reason: str) -> None:
         name = relay.entry.instance
--- a/src/turmericlug/entry/relay_codec.py
+++ b/src/turmericlug/entry/relay_codec.py
@@ -1,4 +1,4 @@
-"""News as one instance tells them to another: Cap'n Proto, large values compressed."""
+"""The messages by which instances relay changes: Cap'n Proto, with large values compressed."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 
 _SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("relay.capnp")))
 COMPRESSION_THRESHOLD_BYTES = 1000
-"""Less than a packet gains nothing; entries of replicas are some 200 bytes."""
+"""Compressing less than a packet gains nothing; entries of replicas are some 200 bytes."""
 MAX_CONTENT_BYTES = 8 * 1024 * 1024
-"""Eight times what the source holds under one key."""
+"""Eight times the largest value that the source holds under one key."""
 _MAX_AGE_S = 3600.0
-"""Reply as the age of news that never came: far beyond what is trusted."""
+"""Reported as the age if the source has never answered: far beyond what any instance accepts."""
 
 Decode = abc.Callable[[str, bytes, int], source.Written | source.Unreadable | None]
-"""Tells what a key's new content says, given its revision."""
+"""Decodes the new content of a key, given its revision."""
 
 
 class MessageError(Exception):
-    """What came is no such message."""
+    """The message is damaged or of another type."""
 
 
 @attrs.frozen
 class Reply:
-    """What another instance told."""
+    """The reply of a relay."""
 
     changes: source.Changes
     lost: bool
-    """Whether it does not know all changes since the revision that it was asked for."""
+    """Whether the relay does not know all changes since the requested position."""
 
 
 def encode(changes: source.Changes | None, age_s: float) -> bytes:
     """
-    Write news as a message.
+    Encode changes as a message.
 
-    :param changes: ``None`` where not all of them are known
-    :param age_s: how long ago the teller heard from the source
+    :param changes: ``None`` if not all of them are known
+    :param age_s: time since the source last answered the sender
     """
     message = _SCHEMA.News.new_message()
     if changes is None:
@@ -63,13 +63,13 @@
             "era": change.era,
             "removed": True,
         }
-    packed = _compress(change.content)
-    compressed = len(packed) < len(change.content)
+    smaller = _compress(change.content)
+    compressed = len(smaller) < len(change.content)
     return {
         "key": change.key,
         "revision": change.revision,
         "era": change.era,
-        "content": packed if compressed else change.content,
+        "content": smaller if compressed else change.content,
         "compressed": compressed,
         "lease": change.lease if isinstance(change, source.Written) else 0,
     }
@@ -78,29 +78,29 @@
 @functools.lru_cache(maxsize=16)
 def _compress(content: bytes) -> bytes:
     """
-    Compress a value once for all instances that ask for it.
+    Compress a value once for all instances that request it.
 
-    A configuration of 90 shards is tens of kilobytes. Reply plainly to fourteen instances it kept a
-    relay's link of 7 Mbit/s busy for some hundred milliseconds, in which the relay's own batches
-    went unanswered and were all taken for lost.
+    A configuration of 90 shards is tens of kilobytes. Sent uncompressed to fourteen instances, it
+    kept a relay's link of 7 Mbit/s busy for some hundred milliseconds, during which the relay's own
+    batches got no answers and were all treated as lost.
     """
     return zlib.compress(content, 1) if len(content) > COMPRESSION_THRESHOLD_BYTES else content
 
 
 def decode(content: bytes, decode_value: Decode) -> Reply:
     """
-    Read a message.
+    Decode a message.
 
-    :raises MessageError: it is damaged
+    :raises MessageError: the message is damaged
     """
     try:
         message = _SCHEMA.News.from_bytes_packed(content)
         found = [_decode_change(each, decode_value) for each in message.changes]
         changes = tuple(each for each in found if each is not None)
         age_s = message.sourceAgeMs / 1000
-        told = source.Changes(changes, message.revision, age_s, message.era)
-        return Reply(told, message.lost)
-    except Exception as error:  # the library raises its own type for each kind of damage
+        reported = source.Changes(changes, message.revision, age_s, message.era)
+        return Reply(reported, message.lost)
+    except Exception as error:  # the library raises a different type for each kind of damage
         raise MessageError(str(error)[:100]) from error
 
 
@@ -120,11 +120,11 @@
     """
     Decompress a value.
 
-    :raises ValueError: it is cut or too large
-    :raises zlib.error: it is damaged
+    :raises ValueError: the value is truncated or too large
+    :raises zlib.error: the value is damaged
     """
-    unpacking = zlib.decompressobj()
-    plain = unpacking.decompress(content, MAX_CONTENT_BYTES)
-    if not unpacking.eof:
-        raise ValueError("a value is cut or too large")
+    decompressor = zlib.decompressobj()
+    plain = decompressor.decompress(content, MAX_CONTENT_BYTES)
+    if not decompressor.eof:
+        raise ValueError("compressed value is truncated or exceeds MAX_CONTENT_BYTES")
     return plain
--- a/src/turmericlug/entry/sliding_maximum.py
+++ b/src/turmericlug/entry/sliding_maximum.py
@@ -1,4 +1,4 @@
-"""The largest value of late, kept so that asking for it costs the same however many were noted."""
+"""The maximum over a sliding window, read at a cost that does not grow with the values added."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 class SlidingMaximum:
     """
-    A maximum over a sliding window.
+    A maximum over a sliding window, as a monotonic queue.
 
-    Holds only values that may still become the largest: one that a later value reaches never can.
-    The load pattern: hundreds of instances start together and each notes a count for each that
-    comes. Scanning all counts of the window at each would take a good part of a core.
+    Holds only values that may still become the maximum: a value that a later one equals or exceeds
+    never can. When hundreds of instances start together, each records a count for every instance
+    that appears. Scanning all counts of the window each time would take a good part of a core.
     """
 
     def __init__(self, window_s: float) -> None:
@@ -19,17 +19,17 @@
         self._descending: collections.deque[tuple[float, int]] = collections.deque()
 
     def __len__(self) -> int:
-        """Return how many values are held."""
+        """Return the number of values held."""
         return len(self._descending)
 
     def add(self, now_s: float, value: int) -> None:
-        """Take note of a value."""
+        """Add a value."""
         while self._descending and self._descending[-1][1] <= value:
             self._descending.pop()
         self._descending.append((now_s, value))
 
     def get(self, now_s: float) -> int:
-        """Return the largest value noted within the window, 0 when there is none."""
+        """Return the largest value added within the window, 0 if there is none."""
         while self._descending and self._descending[0][0] <= now_s - self._window_s:
             self._descending.popleft()
         return self._descending[0][1] if self._descending else 0
--- a/src/turmericlug/entry/source.py
+++ b/src/turmericlug/entry/source.py
@@ -1,4 +1,4 @@
-"""What an entry instance learns from where the configuration and the replicas are kept."""
+"""The source of configuration, replicas and instances: its protocol and the data it delivers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class Evacuation:
-    """The replicas of a data centre are to get nothing more, for as long as its key is there."""
+    """Excludes the replicas of a data centre from requests for as long as its key exists."""
 
     data_centre: str
 
@@ -33,10 +33,11 @@
 @attrs.frozen(order=True)
 class Position:
     """
-    A place in the source's history.
+    A position in the source's history.
 
-    A source that returns from a copy loses its latest changes and gives their revisions out again
-    for others. It counts its returns: a revision says something only beside the era it is of.
+    A source that is restored from a copy loses its latest changes and assigns their revisions again
+    to other changes. Each restore starts a new era, so that a revision is meaningful only together
+    with its era.
     """
 
     era: int
@@ -48,19 +49,19 @@
 
 @attrs.frozen
 class Written:
-    """A key has a new value."""
+    """A key with its new value."""
 
     key: str
     value: Value
     revision: int
     content: bytes = attrs.field(default=b"", repr=False)
-    """The value as the source holds it, for passing on."""
+    """The raw value as the source holds it, to be relayed to other instances."""
     lease: int = 0
-    """The lease that the key ends with, where the source itself told; 0: none, or not known."""
+    """The lease to which the key is attached, if the source reported it; 0: none or unknown."""
     ignored: tuple[str, ...] = ()
-    """Optional fields that could not be read and count as absent."""
+    """Optional fields that could not be decoded and count as absent."""
     era: int = 0
-    """In which the source told it; the write itself may be older."""
+    """The era in which the source reported the value; the write itself may be older."""
 
     @property
     def position(self) -> Position:
@@ -70,7 +71,7 @@
 
 @attrs.frozen
 class Removed:
-    """A key is gone."""
+    """A removed key."""
 
     key: str
     revision: int
@@ -84,13 +85,13 @@
 
 @attrs.frozen
 class Unreadable:
-    """A key has a value that is not of the published form: it names nothing to use."""
+    """A key whose value does not follow the published format and is not used."""
 
     key: str
     revision: int
     reason: str
     content: bytes = attrs.field(default=b"", repr=False)
-    """The value as the source holds it, for passing on."""
+    """The raw value as the source holds it, to be relayed to other instances."""
     era: int = 0
 
     @property
@@ -104,37 +105,37 @@
 
 @attrs.frozen
 class Snapshot:
-    """Everything, and the revision from which changes have to be followed."""
+    """All entries, and the revision from which to request changes."""
 
     written: tuple[Written | Unreadable, ...]
     revision: int
-    """Of the oldest page; single entries may be newer."""
+    """The revision of the oldest page; single entries may be newer."""
     era: int = 0
 
     @property
     def position(self) -> Position:
-        """From where changes have to be followed."""
+        """The position from which to request changes."""
         return Position(self.era, self.revision)
 
 
 @attrs.frozen
 class Changes:
-    """What has changed up to a revision."""
+    """The changes up to a revision."""
 
     changes: tuple[Change, ...]
     revision: int
     age_s: float = 0.0
-    """How long ago whoever tells them heard from the source."""
+    """Time since whoever delivers the changes last got an answer from the source."""
     era: int = 0
 
     @property
     def position(self) -> Position:
-        """Up to where they tell what has changed."""
+        """The position up to which the changes are complete."""
         return Position(self.era, self.revision)
 
 
 class SourceError(Exception):
-    """The source gave no usable answer; the reason is a short word."""
+    """The source gave no usable answer; the reason is a short keyword."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -142,28 +143,29 @@
 
 
 class HistoryLostError(Exception):
-    """The changes since the given position are not known: read everything anew."""
+    """The changes since the given position are no longer available; a new snapshot is needed."""
 
 
 class LeaseEndedError(Exception):
-    """The lease is no longer in force, and its keys are gone."""
+    """The lease has expired or was ended, and its keys are removed."""
 
 
 class Source(typing.Protocol):
-    """Where configuration, replicas and the other instances are kept."""
+    """Where the configuration, the replicas and the other instances are registered."""
 
     era: int
-    """The latest that an answer was of; all that was acknowledged in an earlier one may be lost."""
+    """The latest era seen in an answer; writes acknowledged in an earlier one may be lost."""
 
     async def read_all(self, may_be_stale: bool) -> Snapshot:
         """
-        Read everything.
+        Read all entries.
 
-        :param may_be_stale: whether seconds old will do, which costs the source less
+        :param may_be_stale: whether a result some seconds old is acceptable, which costs the source
+            less
         """
 
     async def changes(self, after: Position, wait_s: float) -> Changes:
-        """Wait for changes after a position; none when the time is over."""
+        """Wait for changes after a position; return none if the wait time elapses."""
 
     async def lease(self, ttl_s: float) -> int:
         """Open a lease."""
@@ -178,4 +180,4 @@
         """Write the entry of an instance under its lease."""
 
     async def remove(self, written: abc.Sequence[Written]) -> bool:
-        """Remove keys, all or none; false when one has been written since."""
+        """Remove keys, all or none; false if one has been written since."""
--- a/src/turmericlug/entry/view.py
+++ b/src/turmericlug/entry/view.py
@@ -1,9 +1,10 @@
 """
-What this instance believes: configuration, replicas, other instances, each with its age.
+This instance's view of the source: configuration, replicas and other instances, with their age.
 
-Decisions of recovery are here: a configuration never goes back; entries that vanish while the
-source is away or just back are not taken for gone at once; a replica that was started again is
-another one, and its older self never comes back.
+The view decides how to recover from failures of the source: a configuration never reverts to an
+older version; entries that disappear while the source is unreachable or shortly after are held for
+a time before they are removed; a restarted replica is a new replica, and entries of its earlier
+starts are ignored.
 """
 
 from __future__ import annotations
@@ -20,20 +21,22 @@
 from turmericlug.telemetry import decisions
 
 RETURN_HOLD_S = 2.2
-"""Entries whose leases lapsed while the source was away are back within 2 s of its return."""
+"""How long entries are held. Entries whose leases expired while the source was unreachable are
+written again within 2 s of its return."""
 MASS_REMOVAL_SHARE = 0.25
 MASS_REMOVAL_MIN = 5
-"""So many entries gone at once are a lapse of leases that this instance has not noticed otherwise,
-not so many replicas that ended in the same moment."""
+"""Removals of this share of the replica entries at once, and at least this many, are treated as an
+expiry of leases in an outage that this instance has not noticed, not as replicas that ended."""
 MAX_REMEMBERED_STARTS = 4096
-"""Starts of replicas that are gone: some minutes of a large deployment's, 100 bytes each."""
+"""Start times kept of removed replicas: some minutes' worth in a large deployment, 100 bytes
+each."""
 INSTANCE_COUNT_WINDOW_S = 15.0
-"""An instance that is gone counts for this long among those that share connections and budgets: its
-connections and sends still do."""
+"""A removed instance still counts for this long among those that share connections and budgets,
+because its connections and sends remain for a while."""
 
 
 class View:
-    """The beliefs, changed by news only."""
+    """The entries of the source as known here; only snapshots and changes modify them."""
 
     def __init__(
         self,
@@ -45,27 +48,28 @@
         self.configuration: routes.Configuration | None = None
         self.replicas = replicas
         self.peers = peers
-        """The other instances, as replicas of a service that takes parts in their data centre."""
+        """The other instances, as replicas of a service that is named after their data centre and
+        takes parts of queries."""
         self.instances: dict[str, source.EntryInstance] = {}
         self.own_entry_removed = False
         self.on_instances: abc.Callable[[], None] = lambda: None
-        """Called when an instance has come or gone."""
+        """Called when an instance has been written or removed."""
         self.on_configuration: abc.Callable[[], None] = lambda: None
         """Called when a new configuration is in force."""
         self._own_name = own_name
         self._now_s = now_s
         self._known: dict[str, source.Written | source.Unreadable] = {}
         self._held: dict[str, float] = {}
-        """When entries vanished that may come back, by key."""
+        """When each held entry disappeared, by key."""
         self._unreachable_since_s: float | None = None
         self._recovered_s = float("-inf")
         self.era = 0
-        """Of the source, as of the latest news; 0: none was told yet."""
+        """The latest known era of the source; 0: none yet."""
         self._era_changed_s = float("-inf")
         self._last_answer_s = float("-inf")
         self._instance_counts = sliding_maximum.SlidingMaximum(INSTANCE_COUNT_WINDOW_S)
         self._born_ms: collections.OrderedDict[str, int] = collections.OrderedDict()
-        """The latest start of replicas that are gone, by key."""
+        """The latest start time of removed replicas, by key."""
 
     @property
     def ready(self) -> bool:
@@ -74,20 +78,20 @@
 
     @property
     def source_unreachable(self) -> bool:
-        """Whether the source did not answer when it was last asked."""
+        """Whether the last request to the source failed."""
         return self._unreachable_since_s is not None
 
     def source_lost(self, reason: str) -> None:
-        """Take note that the source does not answer."""
+        """Record that the source does not answer."""
         if self._unreachable_since_s is None:
             self._unreachable_since_s = self._now_s()
             decisions.log("source.lost", reason=reason)
 
     def source_regained(self, age_s: float = 0.0) -> None:
         """
-        Take note that the source answers.
+        Record that the source answers.
 
-        :param age_s: how long ago it did, where another instance has passed its answer on
+        :param age_s: age of the answer, if another instance has relayed it
         """
         self._last_answer_s = max(self._last_answer_s, self._now_s() - age_s)
         if self._unreachable_since_s is None:
@@ -98,15 +102,15 @@
         self._recovered_s = now_s
 
     def source_age_s(self) -> float:
-        """Return how old the last answer of the source is."""
+        """Return the time since the last answer of the source."""
         return self._now_s() - self._last_answer_s
 
     def instances_count(self) -> int:
-        """Return how many instances share connections and budgets, the largest of late."""
+        """Return how many instances share connections and budgets: the recent maximum."""
         return max(len(self.instances), 1, self._instance_counts.get(self._now_s()))
 
     def entries(self, names: abc.Collection[str]) -> list[source.Written]:
-        """Return the entries of some instances, as the source has them."""
+        """Return the entries of the named instances, as the source holds them."""
         return [
             each
             for each in self._known.values()
@@ -116,21 +120,21 @@
         ]
 
     def lease_of(self, instance: source.EntryInstance) -> int | None:
-        """Return the lease under which just this entry stands, if the source has told."""
+        """Return the lease of exactly this entry, if the source has reported it."""
         for each in self.entries([instance.name]):
             if each.value == instance and each.lease:
                 return each.lease
         return None
 
     def changes_in(self, snapshot: source.Snapshot) -> source.Changes:
-        """Return what a fresh reading tells that was not known, as changes."""
+        """Return the changes that lead from the known entries to a fresh snapshot."""
         return differences.between(self._known, snapshot)
 
     def _record_count(self) -> None:
         self._instance_counts.add(self._now_s(), len(self.instances))
 
     def take_snapshot(self, snapshot: source.Snapshot) -> None:
-        """Take over a whole reading: what is missing in it has been removed."""
+        """Apply a full snapshot; entries missing from it have been removed."""
         self._update_era(snapshot.era)
         present = {written.key for written in snapshot.written}
         missing = [key for key in self._known if key not in present]
@@ -140,7 +144,7 @@
         self._handle_removed([key for key in missing if key not in self._held], snapshot.revision)
 
     def take_changes(self, changes: source.Changes) -> None:
-        """Take over what has changed, in order."""
+        """Apply changes, in order."""
         removed = []
         self._update_era(changes.era)
         differences.log_outdated(self._known, changes.changes, changes.revision)
@@ -155,16 +159,16 @@
         self._handle_removed(removed, changes.revision)
 
     def _is_newer_removal(self, removed: source.Removed) -> bool:
-        """Whether a removal is not of an entry that has been written again since."""
+        """Whether a removal is later than the latest known write of its key."""
         known = self._known.get(removed.key)
         return known is not None and removed.position > known.position
 
     def _update_era(self, era: int) -> None:
         """
-        Take note of the era that news are of.
+        Record the era of a snapshot or of changes.
 
-        In a new one, what is missing has been lost by the source perhaps, not removed: the operator
-        and the replicas write it again.
+        Entries missing in a new era may have been lost by the source rather than removed; the
+        operator and the replicas write them again.
         """
         if 0 < self.era < era:
             self._era_changed_s = self._recovered_s = self._now_s()
@@ -190,10 +194,10 @@
         known: source.Written | source.Unreadable | None,
     ) -> bool:
         """
-        Whether an entry tells of a start of its replica before the one that is known.
+        Whether an entry is from an earlier start of its replica than the known one.
 
-        A write that got no answer may be carried out seconds later, behind that of the next start.
-        Taken over, it would bring back an address and a state of a process that has ended.
+        A write that got no answer may take effect seconds later, after the first write of the next
+        start. Applying it would restore the address and state of a process that has ended.
         """
         born_ms = _born_ms(written)
         newest_ms = _born_ms(known) if _is_replica(known) else self._born_ms.get(written.key)
@@ -201,9 +205,9 @@
 
     def _mark_unreadable(self, unreadable: source.Unreadable) -> None:
         """
-        Use nothing any more that a key named until its value became unreadable.
+        Stop using the entry of a key whose value has become unreadable.
 
-        But the configuration: the last that could be read stays in force.
+        The configuration is an exception: the last readable version stays in force.
         """
         known = self._known.get(unreadable.key)
         if isinstance(known, source.Written):
@@ -261,8 +265,8 @@
     def _apply_configuration(self, configuration: routes.Configuration, revision: int) -> None:
         current = self.configuration
         if current is not None and configuration.version <= current.version:
-            # A reading that was on its way while a newer version arrived must not bring back the
-            # older one: callers have seen the newer one in force.
+            # A snapshot that was in transit while a newer version arrived must not restore the
+            # older one: callers have already seen the newer one in force.
             return
         self.configuration = configuration
         decisions.log(
@@ -279,9 +283,9 @@
             return
         now_s = self._now_s()
         hold = self._unreachable_since_s is not None or now_s - self._recovered_s < RETURN_HOLD_S
-        lost = now_s - self._era_changed_s < RETURN_HOLD_S
-        kept = sum(map(_is_replica, self._known.values()))
-        if len(keys) >= max(MASS_REMOVAL_MIN, MASS_REMOVAL_SHARE * kept):
+        new_era = now_s - self._era_changed_s < RETURN_HOLD_S
+        replica_count = sum(map(_is_replica, self._known.values()))
+        if len(keys) >= max(MASS_REMOVAL_MIN, MASS_REMOVAL_SHARE * replica_count):
             hold = True
         for key in keys:
             written = self._known.get(key)
@@ -291,11 +295,12 @@
                 del self._known[key]
                 continue
             if self._is_own(written):
-                # Not known any more, lest its lease be taken for that of an entry that stands.
+                # Drop it, so that lease_of() does not report the lease of an entry that no longer
+                # exists.
                 del self._known[key]
                 self.own_entry_removed = True
                 continue
-            if lost or hold and not isinstance(written.value, source.Evacuation):
+            if new_era or hold and not isinstance(written.value, source.Evacuation):
                 self._hold(key, written, revision)
             else:
                 self._delete(key, revision)
@@ -316,7 +321,7 @@
                     "view.replica_gone", replica=written.value.instance, revision=revision
                 )
             case source.EntryInstance():
-                # Before it goes: the memory is of how many there were until now.
+                # Record the count before the removal, so that the maximum includes this instance.
                 self._record_count()
                 self.instances.pop(written.value.name, None)
                 self.peers.remove(written.value.name)
@@ -342,20 +347,20 @@
 
     def expire_held(self) -> None:
         """
-        Take for gone what had its time to come back while the source was there.
+        Remove held entries whose hold time has elapsed while the source was reachable.
 
-        The time counts from the source's return, not from the lapse: entries lapse early in an
-        outage, and would be taken for gone in the moment in which they are written again.
+        The time counts from the recovery of the source, not from the expiry of the entry: entries
+        expire early in an outage, and would be removed just when they are written again.
         """
         if self._unreachable_since_s is not None:
             return
         now_s = self._now_s()
-        due = [
+        expired = [
             key
-            for key, gone_s in self._held.items()
-            if now_s >= max(gone_s, self._recovered_s) + RETURN_HOLD_S
+            for key, held_since_s in self._held.items()
+            if now_s >= max(held_since_s, self._recovered_s) + RETURN_HOLD_S
         ]
-        for key in due:
+        for key in expired:
             self._delete(key, self._known[key].revision)
 
 
@@ -370,7 +375,7 @@
 
 
 def rounded_age_s(age_s: float) -> float | None:
-    """Return an age as it is told in logs and answers, ``None`` where nothing was heard yet."""
+    """Return an age as reported in logs and answers, ``None`` before the first answer."""
     return round(age_s, 3) if math.isfinite(age_s) else None
 
 
--- a/tests/entry/test_follower.py
+++ b/tests/entry/test_follower.py
@@ -100,8 +100,8 @@
     monkeypatch.setattr(follower, "RENEWAL_RETRY_S", 0.001)
 
 
-def stay_registered(source, view, may_serve=lambda: True, tells_others=lambda: False):
-    return follower.stay_registered(source, view, OWN, may_serve, tells_others, random.Random(1))
+def stay_registered(source, view, may_serve=lambda: True, serves_peers=lambda: False):
+    return follower.stay_registered(source, view, OWN, may_serve, serves_peers, random.Random(1))
 
 
 async def while_running(work, until):
@@ -238,7 +238,7 @@
 
 
 @pytest.mark.parametrize(
-    ("tells_others", "answers", "pause_s"),
+    ("serves_peers", "answers", "pause_s"),
     [
         (False, True, follower.RENEWAL_INTERVAL_S),
         (True, True, follower.RELAY_RENEWAL_INTERVAL_S),
@@ -246,7 +246,7 @@
         (True, False, follower.RELAY_RENEWAL_INTERVAL_S),
     ],
 )
-def test_how_often_a_lease_is_renewed(tells_others, answers, pause_s, monkeypatch):
+def test_how_often_a_lease_is_renewed(serves_peers, answers, pause_s, monkeypatch):
     """
     Each renewal is a call. Only what a relay tells is as old as its own last word with the store.
     """
@@ -269,7 +269,7 @@
         monkeypatch.setattr(asyncio.get_running_loop(), "time", lambda: now_s[0], raising=False)
         monkeypatch.setattr(follower.asyncio, "sleep", sleep)
         with pytest.raises(asyncio.CancelledError):
-            await stay_registered(source, make_view(), tells_others=lambda: tells_others)
+            await stay_registered(source, make_view(), serves_peers=lambda: serves_peers)
 
     asyncio.run(main())
     pauses_s = [after - before for before, after in itertools.pairwise(tried_s)]
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -104,7 +104,7 @@
     mutant.one(
         "gone-at-once",
         "entry/view.py",
-        "            if lost or hold and not isinstance(written.value, source.Evacuation):\n",
+        "            if new_era or hold and not isinstance(written.value, source.Evacuation):\n",
         "            if not key:\n",
         "entry/test_view.py::test_entries_that_lapse_with_the_store_are_kept_for_their_return",
     ),
@@ -154,8 +154,8 @@
     mutant.one(
         "trust-a-stale-relay",
         "entry/relay.py",
-        "            if told.changes.age_s < MAX_AGE_S and",
-        "            if told.changes.age_s < 1000 * MAX_AGE_S and",
+        "            if reply.changes.age_s < MAX_AGE_S and",
+        "            if reply.changes.age_s < 1000 * MAX_AGE_S and",
         "entry/test_relay.py::test_relays_that_fail_are_passed_by",
     ),
     mutant.one(
@@ -240,8 +240,8 @@
     mutant.one(
         "entry-written-once",
         "entry/follower.py",
-        "            if standing.written:",
-        "            if standing.written or standing.lease:",
+        "            if registration.written:",
+        "            if registration.written or registration.lease:",
         "entry/test_follower.py::test_an_entry_that_could_not_be_written_is_written_later",
     ),
     mutant.one(
@@ -298,14 +298,14 @@
     mutant.one(
         "journal-answers-for-any-era",
         "entry/journal.py",
-        "        known = begun <= after.revision <= ended",
+        "        known = first <= after.revision <= last",
         "        known = True",
         "entry/test_journal.py::test_a_journal_answers_only_for_what_it_knows",
     ),
     mutant.one(
         "lease-trusted-after-a-return",
         "entry/follower.py",
-        "    standing.reset()\n\n\nasync def _end_lease",
+        "    registration.reset()\n\n\nasync def _end_lease",
         "\n\nasync def _end_lease",
         "entry/test_follower.py"
         "::test_a_registration_is_checked_when_the_source_has_returned_from_a_copy",
@@ -313,8 +313,8 @@
     mutant.one(
         "taken-out-for-good",
         "entry/deregistration.py",
-        "[*view.entries(missed), *_reappeared(view, taken_out)]",
-        "[*view.entries(missed)]",
+        "[*view.entries(silent), *_reappeared(view, removed_entries)]",
+        "[*view.entries(silent)]",
         "integration/test_store_returns.py"
         "::test_an_entry_that_was_taken_out_stays_out_when_the_store_has_returned[killed]",
     ),
@@ -344,7 +344,7 @@
     mutant.one(
         "evacuation-lost-with-the-copy",
         "entry/view.py",
-        "            if lost or hold and",
+        "            if new_era or hold and",
         "            if hold and",
         "entry/test_view.py"
         "::test_an_evacuation_that_a_copy_has_not_is_held_until_it_is_written_again",
@@ -637,8 +637,8 @@
     mutant.one(
         "hold-an-evacuation-taken-back",
         "entry/view.py",
-        "            if lost or hold and not isinstance(written.value, source.Evacuation):",
-        "            if lost or hold:",
+        "            if new_era or hold and not isinstance(written.value, source.Evacuation):",
+        "            if new_era or hold:",
         "entry/test_view.py::test_an_evacuation_is_in_force_until_its_key_goes",
     ),
     mutant.one(
