--- a/src/turmericlug/entry/follower.py
+++ b/src/turmericlug/entry/follower.py
@@ -176,13 +176,13 @@
     registration = _Registration(lease, lease is not None, view.era)
     try:
         while True:
-            tried_s = loop.time()
+            attempted_s = loop.time()
             succeeded = await _renew(source, view, own, registration)
             jitter = rng.uniform(0.8, 1.2)
             while not (view.own_entry_removed or registration.is_older_than(view.era)):
                 every_s = RENEWAL_RETRY_S if not succeeded else RENEWAL_INTERVAL_S
                 every_s = min(every_s, RELAY_RENEWAL_INTERVAL_S) if serves_peers() else every_s
-                left_s = tried_s + every_s * jitter - loop.time()
+                left_s = attempted_s + every_s * jitter - loop.time()
                 if left_s <= 0:
                     break
                 await asyncio.sleep(min(left_s, CHECK_INTERVAL_S))
--- a/src/turmericlug/entry/relay.py
+++ b/src/turmericlug/entry/relay.py
@@ -1,11 +1,11 @@
 """
 Relay changes between the instances of a data centre.
 
-If every instance watched the store itself, each change would cost one call per instance. Instead,
-one instance of a data centre, the first relay, requests changes from the store, and the others
+If every instance watched the source itself, each change would cost one call per instance. Instead,
+one instance of a data centre, the first relay, requests changes from the source, and the others
 request them from it. The second relay is a standby: it uses the first one like all others, turns to
-the store if that fails, and serves the instances that cannot use the first. Each reply carries its
-age: an instance that gets no recent enough reply asks the store itself within 1.9 s. The shortest
+the source if that fails, and serves the instances that cannot use the first. Each reply carries its
+age: an instance that gets no recent enough reply asks the source itself within 1.9 s. The shortest
 time within which a configuration has to be in force is 3 s.
 """
 
--- a/tests/entry/test_deregistration.py
+++ b/tests/entry/test_deregistration.py
@@ -1,4 +1,4 @@
-"""Entries of instances that are missed, and the instances that live all the same."""
+"""Deregistering silent instances, and sparing those that still run."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class Source:
-    """Takes keys out, or fails to."""
+    """Removes keys, or fails to."""
 
     def __init__(self, outcome):
         self.outcome = outcome
-        self.tries = []
+        self.calls = []
 
     async def remove(self, written):
-        self.tries.append([each.key for each in written])
+        self.calls.append([each.key for each in written])
         if isinstance(self.outcome, Exception):
             raise self.outcome
         return self.outcome
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ("missed", "age_s", "outcome", "tries", "counted"),
+    ("silent", "age_s", "outcome", "calls", "counted"),
     [
         (["a"], 0.0, True, 1, 1),
         (["a", "unknown"], 0.0, True, 1, 1),
@@ -49,12 +49,15 @@
         (["a"], 0.0, False, 1, 0),
         (["a"], 0.0, source_module.SourceError("busy"), 2, 0),
     ],
-    ids=["taken out", "one is known", "not known", "cut off", "written since", "busy"],
+    ids=["removed", "one is known", "not known", "cut off", "written since", "busy"],
 )
-def test_entries_of_missed_instances(missed, age_s, outcome, tries, counted, monkeypatch):
+def test_entries_of_silent_instances_are_removed(
+    silent, age_s, outcome, calls, counted, monkeypatch
+):
     """
-    Machines lose power, and callers are told their addresses until their leases end. The instance
-    that they asked for news takes their entries out, unless it is itself cut off.
+    Guards against callers that are given the addresses of dead instances until their leases expire:
+    after a power failure, the relay removes the entries of silent instances, unless it is cut off
+    from the source itself.
     """
     monkeypatch.setattr(deregistration, "CHECK_INTERVAL_S", 0.001)
     now_s = 10.0
@@ -71,19 +74,19 @@
     relayed = relay.RelayedSource(
         source, None, scripted.PLACE, peers, totals, attendance.Attendance()
     )
-    waiting = list(missed)
+    waiting = list(silent)
     looks = []
 
-    def missed_now(relayed, at_s):
+    def silent_now(relayed, at_s):
         looks.append(at_s)
         return [] if counted and totals.totals["instance.missed"] else waiting
 
-    monkeypatch.setattr(relay.RelayedSource, "silent_instances", missed_now)
+    monkeypatch.setattr(relay.RelayedSource, "silent_instances", silent_now)
 
     async def main():
         task = asyncio.create_task(deregistration.deregister_silent(source, view, relayed, totals))
         async with asyncio.timeout(10):
-            while len(source.tries) < tries or (not tries and len(looks) < 3 and age_s < 1):
+            while len(source.calls) < calls or (not calls and len(looks) < 3 and age_s < 1):
                 await asyncio.sleep(0.002)
             await asyncio.sleep(0.02)
         task.cancel()
@@ -91,7 +94,7 @@
             await task
 
     asyncio.run(main())
-    assert bool(source.tries) is bool(tries)
-    assert all(each == ["i/a"] for each in source.tries)
+    assert bool(source.calls) is bool(calls)
+    assert all(each == ["i/a"] for each in source.calls)
     assert totals.totals["instance.missed"] == counted
     assert bool(looks) is (age_s < relay.MAX_AGE_S)
--- a/tests/entry/test_follower.py
+++ b/tests/entry/test_follower.py
@@ -1,4 +1,4 @@
-"""Following the source through its faults, and staying registered there."""
+"""Watching the source through its faults, and staying registered in it."""
 
 from __future__ import annotations
 
@@ -31,14 +31,18 @@
 
 
 class Source:
-    """Plays steps for each reading and each question; the last one for ever."""
+    """
+    Plays scripted steps for each kind of call.
+
+    Without a step left, a registration succeeds and any other call blocks.
+    """
 
     era = 0
 
-    def __init__(self, readings=(), questions=(), keeps=(), registrations=()):
+    def __init__(self, snapshots=(), replies=(), keeps=(), registrations=()):
         self.steps = {
-            "read": list(readings),
-            "changes": list(questions),
+            "read": list(snapshots),
+            "changes": list(replies),
             "keep": list(keeps),
             "register": list(registrations),
         }
@@ -115,7 +119,7 @@
 
 
 @pytest.mark.parametrize(
-    ("readings", "questions", "version", "asked_after"),
+    ("snapshots", "replies", "version", "asked_after"),
     [
         ([4], [], 4, [4]),
         ([4], [5, 7], 7, [4, 5, 7]),
@@ -124,21 +128,21 @@
         ([4, 9], [source_module.HistoryLostError(), 10], 10, [4, 9, 10]),
         ([4, source_module.SourceError("busy"), 3], [source_module.HistoryLostError()], 4, [4, 3]),
     ],
-    ids=["read", "changes", "busy at first", "cut", "history lost", "stale reading"],
+    ids=["read", "changes", "busy at first", "connection cut", "history lost", "stale snapshot"],
 )
-def test_following(readings, questions, version, asked_after):
+def test_follow_recovers_from_source_faults(snapshots, replies, version, asked_after):
     """
-    The store is away, drops its history or answers from the past, in any order.
-    Callers must see each new configuration, and none go back.
+    Guards against a view that misses a configuration or reverts to an older one when the store is
+    unreachable, drops its history or answers with a stale snapshot, in any order.
     """
     source = Source(
         [
             source_module.Snapshot((configured(each),), each) if isinstance(each, int) else each
-            for each in readings
+            for each in snapshots
         ],
         [
             source_module.Changes((configured(each),), each) if isinstance(each, int) else each
-            for each in questions
+            for each in replies
         ],
     )
     view = make_view()
@@ -157,8 +161,8 @@
     asyncio.run(main())
     assert view.configuration.version == version
     assert source.asked_after == asked_after
-    # Only while nothing is known yet: a later stale reading would take replicas for gone.
-    known = [isinstance(each, int) for each in readings]
+    # Only while nothing is known yet: with a later stale snapshot, replicas would count as removed.
+    known = [isinstance(each, int) for each in snapshots]
     assert source.stale_allowed == [not any(known[:n]) for n in range(len(source.stale_allowed))]
 
 
@@ -170,12 +174,12 @@
         ([source_module.SourceError("timeout"), 1], [1]),
         ([source_module.SourceError("busy"), source_module.LeaseEndedError(), 1], [1, 2]),
     ],
-    ids=["kept", "ended", "no answer", "ended while away"],
+    ids=["kept", "ended", "no answer", "ended while unreachable"],
 )
-def test_staying_registered(keeps, registered):
+def test_stay_registered_recovers_from_lease_faults(keeps, registered):
     """
-    The lease of an instance ends although the instance runs on, as the store was away for longer.
-    Not registered again, it serves nobody for the rest of its life.
+    Guards against an instance that gets no requests until it is restarted: its lease expires while
+    the store is unreachable, although the instance keeps running, and it does not register again.
     """
     source, view = Source(keeps=keeps), make_view()
 
@@ -193,10 +197,10 @@
 
 
 @pytest.mark.parametrize("failures", [1, 3])
-def test_an_entry_that_could_not_be_written_is_written_later(failures):
+def test_failed_registration_is_retried(failures):
     """
-    The store opens a lease for an instance that has just started and refuses its next call. The
-    instance renewed the lease for the rest of its life: ready, and told to no caller.
+    Guards against a ready instance that no caller is told of: the store opened its lease at the
+    start and refused the next call, and the instance kept renewing the lease without an entry.
     """
     source = Source(
         keeps=[1, 1], registrations=[source_module.SourceError("busy")] * failures + [1]
@@ -219,12 +223,13 @@
         (own_entry(lease=0), [1], [1], [1]),
         (own_entry(source_module.EntryInstance("own", "10.0.0.2:80", "dc", "r")), [1], [1], [1]),
     ],
-    ids=["stands", "lapsed", "lease not known", "at another address"],
+    ids=["valid", "expired", "lease not known", "at another address"],
 )
-def test_an_entry_that_has_outlived_the_start_is_taken_over(entry, keeps, kept, registered):
+def test_entry_of_previous_run_is_adopted(entry, keeps, kept, registered):
     """
-    All instances lose power for two seconds. Each opens a lease and writes its entry anew, two
-    calls each within a second, although what they wrote before still stands.
+    Guards against a burst of calls to the store after a power failure of two seconds: each instance
+    opened a lease and wrote its entry, two calls each within a second, although its former entry
+    and lease were still valid.
     """
     source, view = Source(keeps=keeps), make_view()
     view.take_snapshot(source_module.Snapshot((entry,), 3))
@@ -246,17 +251,18 @@
         (True, False, follower.RELAY_RENEWAL_INTERVAL_S),
     ],
 )
-def test_how_often_a_lease_is_renewed(serves_peers, answers, pause_s, monkeypatch):
+def test_lease_renewal_interval(serves_peers, answers, pause_s, monkeypatch):
     """
-    Each renewal is a call. Only what a relay tells is as old as its own last word with the store.
+    Each renewal costs the store a call. Only a relay needs frequent ones, as the age of its replies
+    counts from its last answer from the store.
     """
     monkeypatch.undo()
     source, now_s = Source(), [0.0]
-    tried_s = []
+    attempted_s = []
 
     async def keep(lease):
-        tried_s.append(now_s[0])
-        if len(tried_s) == 4:
+        attempted_s.append(now_s[0])
+        if len(attempted_s) == 4:
             raise asyncio.CancelledError
         if not answers:
             raise source_module.SourceError("busy")
@@ -272,11 +278,11 @@
             await stay_registered(source, make_view(), serves_peers=lambda: serves_peers)
 
     asyncio.run(main())
-    pauses_s = [after - before for before, after in itertools.pairwise(tried_s)]
+    pauses_s = [after - before for before, after in itertools.pairwise(attempted_s)]
     assert all(0.8 * pause_s <= each <= 1.2 * pause_s + 0.001 for each in pauses_s)
 
 
-def test_an_entry_removed_from_outside_is_written_again():
+def test_entry_removed_by_others_is_written_again():
     source, view = Source(keeps=[1] * 50), make_view()
 
     async def main():
@@ -290,7 +296,7 @@
     asyncio.run(main())
 
 
-def test_not_registered_before_it_may_serve():
+def test_not_registered_before_ready_to_serve():
     source, view, ready = Source(keeps=[1]), make_view(), []
 
     async def main():
@@ -314,12 +320,10 @@
         (own_entry(lease=9), [1, 2], [1, 2]),
         (None, [1, 2], [1, 2]),
     ],
-    ids=["entry stands", "under another lease", "entry lost"],
+    ids=["entry valid", "under another lease", "entry lost"],
 )
-def test_a_registration_is_checked_when_the_source_has_returned_from_a_copy(
-    shown, kept, registered
-):
-    """Guards against a lease that is renewed although its number is another instance's by now."""
+def test_registration_is_revalidated_after_restore(shown, kept, registered):
+    """Guards against renewing a lease whose number now belongs to another instance."""
     source, view = Source(keeps=[1]), make_view()
     view.take_snapshot(source_module.Snapshot((), 5, 1))
     source.era = 1
@@ -342,8 +346,8 @@
     assert (source.kept[:2], source.registered) == (kept, registered)
 
 
-def test_an_entry_written_while_the_source_returned_from_a_copy_is_written_again():
-    """Guards against an entry under a lease number that the source gave out again."""
+def test_entry_written_during_restore_is_written_again():
+    """Guards against an entry under a lease number that the source has assigned again."""
 
     class Returning(Source):
         async def register(self, instance, lease):
@@ -364,10 +368,10 @@
     return source_module.Written(f"r/{name}", scripted.entry(name), revision)
 
 
-def test_lost_history_is_no_matter_of_those_that_ask_this_instance():
+def test_journal_continues_after_lost_history():
     """
-    The store forgets its history. The instance that follows it for others reads everything anew and
-    began its journal anew as well: each of the others read everything for itself.
+    Guards against a full read by every instance when the store loses its history: the relay took a
+    new snapshot and restarted its journal, so that each other instance had to take one as well.
     """
     before = (configured(1), replica_entry("a", 2), replica_entry("b", 3))
     after = (configured(9), replica_entry("b", 3), replica_entry("c", 8))
--- a/tests/entry/test_journal.py
+++ b/tests/entry/test_journal.py
@@ -1,4 +1,4 @@
-"""What a journal of news tells."""
+"""The journal's answers to requests for changes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     ("after", "expected"),
     [(10, ["a", "b"]), (11, ["b"]), (12, []), (15, [])],
 )
-def test_a_journal_tells_what_came_after(after, expected):
+def test_changes_after_a_position(after, expected):
     async def main():
         journal = journal_module.Journal()
         journal.restart(at(10))
@@ -36,7 +36,7 @@
     asyncio.run(main())
 
 
-def test_a_journal_does_not_know_what_was_before():
+def test_changes_before_the_journal_are_lost():
     async def main():
         journal = journal_module.Journal()
         with pytest.raises(source.HistoryLostError):
@@ -52,8 +52,8 @@
     asyncio.run(main())
 
 
-def returned_journal():
-    """Return a journal that knows era 1 from 10 to 20, and era 2 from a reading at 15 on."""
+def restored_journal():
+    """Return a journal that knows era 1 from 10 to 20, and era 2 from a snapshot at 15 on."""
     journal = journal_module.Journal()
     journal.restart(at(10, 1))
     journal.add(source.Changes((attrs.evolve(replica("a", 12), era=1),), 20, era=1))
@@ -72,11 +72,11 @@
         (at(16, 2), []),
     ],
 )
-def test_a_journal_goes_on_over_a_return_from_a_copy(after, expected):
-    """Guards against a reading of everything by each instance when the source has returned."""
+def test_journal_continues_across_a_restore(after, expected):
+    """Guards against a full read by each instance when the source has been restored from a copy."""
 
     async def main():
-        found = await returned_journal().since(after, 0.01)
+        found = await restored_journal().since(after, 0.01)
         assert [change.key[2:] for change in found.changes] == expected
         assert found.position == at(16, 2)
 
@@ -86,23 +86,23 @@
 @pytest.mark.parametrize(
     "after",
     [at(9, 1), at(21, 1), at(14, 2), at(16, 3), at(16, 0)],
-    ids=["before it", "beyond its last era", "before its reading", "later era", "unknown era"],
+    ids=["before it", "beyond its last era", "before its snapshot", "later era", "unknown era"],
 )
-def test_a_journal_answers_only_for_what_it_knows(after):
-    """Guards against changes that are missed by whoever knows more of an era, or less."""
+def test_history_is_lost_for_unknown_positions(after):
+    """Guards against lost changes where the requesting instance knows more of an era, or less."""
 
     async def main():
         with pytest.raises(source.HistoryLostError):
-            await returned_journal().since(after, 0.01)
+            await restored_journal().since(after, 0.01)
 
     asyncio.run(main())
 
 
-def test_a_question_that_waits_hears_of_a_return_from_a_copy():
-    """Guards against a wait that goes on as the revision has not risen."""
+def test_restore_ends_a_waiting_request():
+    """Guards against a wait that continues because the revision has not increased."""
 
     async def main():
-        journal = returned_journal()
+        journal = restored_journal()
         waiting = asyncio.create_task(journal.since(at(16, 2), 5.0))
         await asyncio.sleep(0.01)
         journal.add(source.Changes((attrs.evolve(replica("d", 12), era=3),), 12, era=3))
--- a/tests/entry/test_relay.py
+++ b/tests/entry/test_relay.py
@@ -1,4 +1,4 @@
-"""News passed on between instances, and the way around a relay that fails."""
+"""Changes relayed between instances, and the fallback when a relay fails."""
 
 from __future__ import annotations
 
@@ -48,15 +48,15 @@
 
 
 class Source:
-    """The store: counts what it is asked."""
+    """The store; counts the requests for changes."""
 
     def __init__(self):
         self.asked = 0
-        self.away = False
+        self.unreachable = False
 
     async def changes(self, after, wait_s):
         self.asked += 1
-        if self.away:
+        if self.unreachable:
             raise source_module.SourceError("unreachable")
         return source_module.Changes((), after.revision, era=after.era)
 
@@ -65,7 +65,7 @@
     """
     Return names of other instances.
 
-    :param relays: those of them that are asked first, in order; -1 is the instance itself
+    :param relays: the places of the relays among them, in order; -1 is the instance itself
     """
     candidates = itertools.permutations(map(str, range(60)), count)
     for names in candidates:
@@ -78,9 +78,9 @@
 @contextlib.asynccontextmanager
 async def relayed(*handlers, relays=None):
     """
-    Run instances that follow the store for their data centre; yields a source that asks them.
+    Run other instances with the given handlers; yield a source that uses them as relays.
 
-    :param relays: which of them is asked first, which next; -1 is the instance itself
+    :param relays: the places of the relays among them, in order; -1 is the instance itself
     """
     names = names_in_order(len(handlers), *(relays or range(len(handlers))))
     loop = asyncio.get_running_loop()
@@ -94,9 +94,9 @@
     source = Source()
     async with contextlib.AsyncExitStack() as stack:
         for name, handler in zip(names, handlers, strict=True):
-            entrance = server.Server(handler, messages.Limits, 10)
-            listener = await server.listen(entrance, "127.0.0.1", 0)
-            stack.callback(entrance.close)
+            listening_server = server.Server(handler, messages.Limits, 10)
+            listener = await server.listen(listening_server, "127.0.0.1", 0)
+            stack.callback(listening_server.close)
             stack.callback(listener.close)
             host, port = listener.sockets[0].getsockname()
             peers.put(routes.ReplicaEntry(name, "dc", host, port, "dc", 1, False, 0))
@@ -115,12 +115,12 @@
     )
 
 
-def tell(journal, age_s=0.5, heard=None):
-    """Return the handler of a relay that heard from the store so long ago."""
+def relay_handler(journal, age_s=0.5, heard=None):
+    """Return the handler of a relay whose last answer from the store has the given age."""
     return relay.handler(journal, lambda: age_s, heard or attendance.Attendance())
 
 
-def question(after=5, wait_ms=1000, name="x"):
+def changes_request(after=5, wait_ms=1000, name="x"):
     target = relay.PATH + f"0.{after}/{wait_ms}/{name}".encode()
     return messages.Request(b"GET", target, (), b"", 0.0, 0.0, 0.0, 0.0)
 
@@ -132,10 +132,10 @@
     return journal
 
 
-def test_changes_come_through_the_relay():
+def test_changes_come_from_the_relay():
     async def main():
         journal = journal_with(replica("a", 11), source_module.Removed("r/b", 12))
-        async with relayed(tell(journal)) as (source, store):
+        async with relayed(relay_handler(journal)) as (source, store):
             found = await source.changes(at(10), 5.0)
             assert found == source_module.Changes(
                 (replica("a", 11), source_module.Removed("r/b", 12)), 12, 0.5
@@ -148,17 +148,17 @@
 @pytest.mark.parametrize(
     ("era", "after", "asked"),
     [(2, at(10, 1), 0), (2, at(11, 1), 1), (1, at(10, 2), 1)],
-    ids=["known here", "asker knows more", "relay is behind"],
+    ids=["known here", "requester knows more", "relay is behind"],
 )
-def test_changes_over_a_return_from_a_copy_come_from_who_knows_them(era, after, asked):
-    """Guards against changes that are missed where the asker or the relay knows another era."""
+def test_relay_answers_across_a_restore_only_what_it_knows(era, after, asked):
+    """Guards against lost changes where the relay and the requester know different eras."""
 
     async def main():
         journal = journal_module.Journal()
         journal.restart(at(10, 1))
         if era > 1:
             journal.add(source_module.Changes((), 8, era=era))
-        async with relayed(tell(journal)) as (source, store):
+        async with relayed(relay_handler(journal)) as (source, store):
             found = await source.changes(after, 0.01)
             assert store.asked == asked
             assert found.position == (after if asked else at(8, 2))
@@ -166,43 +166,43 @@
     asyncio.run(main())
 
 
-def test_a_value_that_cannot_be_read_is_passed_on_as_such():
+def test_unreadable_value_is_relayed():
     """
-    Somebody writes bytes under a replica's key that nobody can read. A relay that fails by it sends
-    all instances of its data centre to the store, and the replicas beside it go unheard.
+    Guards against an unreadable value under a replica's key that makes the relay fail: all
+    instances of its data centre turn to the store, and changes of other replicas are not relayed.
     """
-    spoilt = source_module.Unreadable("r/a", 11, "no entry", b"?")
+    unreadable = source_module.Unreadable("r/a", 11, "no entry", b"?")
 
     async def main():
-        journal = journal_with(spoilt, replica("b", 12))
-        async with relayed(tell(journal)) as (source, store):
+        journal = journal_with(unreadable, replica("b", 12))
+        async with relayed(relay_handler(journal)) as (source, store):
             found = await source.changes(at(10), 5.0)
-            assert found == source_module.Changes((spoilt, replica("b", 12)), 12, 0.5)
+            assert found == source_module.Changes((unreadable, replica("b", 12)), 12, 0.5)
             assert store.asked == 0
 
     asyncio.run(main())
 
 
-def test_a_large_configuration_is_told_in_few_bytes():
+def test_large_configuration_is_relayed_compressed():
     """
-    A relay on a link of 7 Mbit/s tells a configuration of 60 KB to fourteen instances. For most of
-    a second nothing else got through: its own queries' batches were all taken for lost and sent
-    again from a machine of half a core, one part at a time.
+    Guards against a relay that saturates its link: on 7 Mbit/s, sending a configuration of 60 KB to
+    fourteen instances blocked all other traffic for most of a second. The batches of its own
+    queries were all treated as lost and sent again, part by part, from a machine of half a core.
     """
     shards = [f"service-{number:03}" for number in range(90)]
     content = json.dumps([{"prefix": f"/r{each}/", "shards": shards} for each in range(40)])
-    told = source_module.Written("r/config", scripted.entry(content), 11, content.encode())
+    written = source_module.Written("r/config", scripted.entry(content), 11, content.encode())
 
     async def main():
         sizes = []
 
         async def handler(request):
-            answer = await tell(journal_with(told))(request)
+            answer = await relay_handler(journal_with(written))(request)
             sizes.append(len(answer.body))
             return answer
 
         async with relayed(handler) as (source, _):
-            assert await source.changes(at(10), 5.0) == source_module.Changes((told,), 12, 0.5)
+            assert await source.changes(at(10), 5.0) == source_module.Changes((written,), 12, 0.5)
         assert sizes[0] < 0.1 * len(content)
 
     asyncio.run(main())
@@ -221,11 +221,11 @@
 
 
 async def stale(request):
-    return await tell(journal_with(replica("a", 11)), 9.0)(request)
+    return await relay_handler(journal_with(replica("a", 11)), 9.0)(request)
 
 
-async def forgetful(request):
-    return await tell(journal_module.Journal(), 0.0)(request)
+async def without_history(request):
+    return await relay_handler(journal_module.Journal(), 0.0)(request)
 
 
 @pytest.fixture
@@ -236,13 +236,13 @@
 
 @pytest.mark.parametrize(
     ("handler", "failed"),
-    [(silent, 2), (garbage, 2), (failing, 2), (stale, 0), (forgetful, 0)],
+    [(silent, 2), (garbage, 2), (failing, 2), (stale, 0), (without_history, 0)],
 )
 @pytest.mark.parametrize("relays", [1, 2])
-def test_relays_that_fail_are_passed_by(handler, failed, relays, short_waits):
+def test_failing_relays_are_bypassed(handler, failed, relays, short_waits):
     """
-    The instances that follow the store for others are frozen, cut off from the store, or new.
-    Whoever relies on them alone goes on with old routes and sends to replicas that have left.
+    Guards against instances that keep old routes, and send to replicas that have left, because
+    their relays are frozen, cut off from the store, or newly started.
     """
 
     async def main():
@@ -256,14 +256,15 @@
 
 
 @pytest.mark.parametrize("first", [silent, garbage, failing, stale])
-def test_the_second_relay_stands_by(first, short_waits):
+def test_second_relay_takes_over(first, short_waits):
     """
-    The instance that follows the store for its data centre dies. Each of the 32 others asked the
-    store itself, a call for each change, until the dead one's lease had lapsed.
+    Guards against a burst of calls to the store when the first relay of a data centre dies: each of
+    the 32 other instances asked the store itself, one call per change, until the dead relay's lease
+    had expired.
     """
 
     async def main():
-        second = tell(journal_with(replica("a", 11)))
+        second = relay_handler(journal_with(replica("a", 11)))
         async with relayed(first, second) as (source, store):
             for _ in range(4):
                 found = await source.changes(at(10), 5.0)
@@ -273,13 +274,13 @@
     asyncio.run(main())
 
 
-def test_the_second_relay_asks_the_first_and_then_the_store(short_waits):
+def test_second_relay_asks_the_first_before_the_store(short_waits):
     async def main():
-        told = tell(journal_with(replica("a", 11)))
-        async with relayed(told, told, relays=(0, -1)) as (source, store):
+        healthy = relay_handler(journal_with(replica("a", 11)))
+        async with relayed(healthy, healthy, relays=(0, -1)) as (source, store):
             assert (await source.changes(at(10), 5.0)).changes == (replica("a", 11),)
             assert not source.serves_peers()
-        async with relayed(stale, told, relays=(0, -1)) as (source, store):
+        async with relayed(stale, healthy, relays=(0, -1)) as (source, store):
             await source.changes(at(10), 5.0)
             assert store.asked == 1
             assert source.serves_peers()
@@ -287,11 +288,11 @@
     asyncio.run(main())
 
 
-def test_the_store_is_left_alone_while_it_is_away_for_all(monkeypatch):
+def test_unreachable_store_is_asked_with_backoff(monkeypatch):
     """
-    The store is down. The relays say that their news are old, and each of 195 instances asked the
-    store itself three times a second for as long as it was away. The relays are asked all the
-    while, so that its return is known at once.
+    Guards against extra load on a store that is down: the relays report that their changes are too
+    old, and each of 195 instances asked the store itself three times a second throughout the
+    outage. The relays are still asked meanwhile, so that the return of the store is known at once.
     """
     now_s = [100.0]
 
@@ -304,15 +305,15 @@
 
         async with relayed(handler) as (source, store):
             monkeypatch.setattr(asyncio.get_running_loop(), "time", lambda: now_s[0], raising=False)
-            store.away = True
+            store.unreachable = True
             for _ in range(50):
                 with pytest.raises(source_module.SourceError):
                     await source.changes(at(10), 5.0)
                 now_s[0] += 0.1
             assert len(asked) == 50
-            # After 0, 0.5, 1.5 and 3.5 s, each give or take a quarter of the pause.
+            # After 0, 0.5, 1.5 and 3.5 s, each delay with a jitter of a quarter.
             assert 3 <= store.asked <= 5
-            store.away = False
+            store.unreachable = False
             now_s[0] += relay.BACKOFF_MAX_S * 1.25
             await source.changes(at(10), 5.0)
             await source.changes(at(10), 5.0)
@@ -320,9 +321,9 @@
     asyncio.run(main())
 
 
-def test_a_relay_that_never_heard_from_the_store_says_that_it_knows_nothing():
-    """A new instance is asked for news before its first reading; it has no age to tell."""
-    answer = asyncio.run(tell(journal_module.Journal(), math.inf)(question()))
+def test_relay_without_a_snapshot_reports_lost_history():
+    """A new instance is asked for changes before its first snapshot, and has no age to report."""
+    answer = asyncio.run(relay_handler(journal_module.Journal(), math.inf)(changes_request()))
     assert answer.status == 200
     assert relay_codec.decode(answer.body, decode).lost
 
@@ -330,16 +331,16 @@
 @pytest.mark.parametrize(
     "target", [b"", b"x/1000/a", b"5", b"5/1000", b"5/1000/", b"5/x/a"], ids=repr
 )
-def test_a_question_of_another_form_is_none(target):
+def test_malformed_request_is_not_found(target):
     heard = attendance.Attendance()
-    request = attrs.evolve(question(), target=relay.PATH + target)
-    answer = asyncio.run(tell(journal_with(replica("a", 11)), 0.5, heard)(request))
+    request = attrs.evolve(changes_request(), target=relay.PATH + target)
+    answer = asyncio.run(relay_handler(journal_with(replica("a", 11)), 0.5, heard)(request))
     assert answer.status == 404
     assert not heard.is_asked(0.0, but="")
 
 
 @pytest.mark.parametrize("data_centres", [[], ["beside"], ["beside", "far"]])
-def test_an_instance_alone_in_its_data_centre_asks_the_store(data_centres):
+def test_only_instance_in_its_data_centre_asks_the_store(data_centres):
     async def main():
         peers = replicas_module.Replicas(lambda entry: None, PLACE, budget.Allowance())
         for each in data_centres:
@@ -366,10 +367,11 @@
         (60.0, 1000, 0.0),
     ],
 )
-def test_news_are_told_before_they_are_too_old(age_s, wait_ms, waited_s, monkeypatch):
+def test_relay_replies_before_its_changes_are_too_old(age_s, wait_ms, waited_s, monkeypatch):
     """
-    A relay is cut off from the store, and the next configuration is written. The others wait for a
-    second with it again while its news are just young enough, and ask the store 3 s after the cut,
+    Guards against a configuration that takes effect too late: it is written just after a relay has
+    been cut off from the store. The others waited for another full second while the relay's changes
+    were still just below the age limit, and asked the store only 3 s after the relay had lost it,
     when the configuration should have been in force.
     """
     waits_s = []
@@ -379,12 +381,12 @@
         return source_module.Changes((), after.revision, era=after.era)
 
     monkeypatch.setattr(journal_module.Journal, "since", since)
-    asyncio.run(tell(journal_module.Journal(), age_s)(question(wait_ms=wait_ms)))
+    asyncio.run(relay_handler(journal_module.Journal(), age_s)(changes_request(wait_ms=wait_ms)))
     assert waits_s == [pytest.approx(waited_s)]
 
 
 @pytest.mark.parametrize(
-    ("relays", "heard", "missed"),
+    ("relays", "heard", "silent_names"),
     [
         ((-1, 0), {"0": 0.0, "1": 9.0, "2": 9.0}, {"0"}),
         ((-1, 0), {"0": 9.0, "1": 9.0, "2": 9.0}, set()),
@@ -396,18 +398,18 @@
     ],
     ids=[
         "one is silent",
-        "none is",
-        "most are",
-        "the first relay is, and others ask",
-        "it is for this one alone",
-        "another one is",
-        "no relay",
+        "none is silent",
+        "most are silent",
+        "first relay is silent, and others ask this one",
+        "first relay is silent to this one only",
+        "another one is silent",
+        "this one is not a relay",
     ],
 )
-def test_who_is_missed(relays, heard, missed):
+def test_silent_instances(relays, heard, silent_names):
     """
-    An instance loses power. Callers are told its address until its lease lapses, unless the one
-    that it asked for news takes its entry out.
+    Guards against callers that are given the address of an instance without power until its lease
+    expires: the relay it used has to find it silent, so that its entry is removed.
     """
     names = names_in_order(3, *relays)
     peers = replicas_module.Replicas(lambda entry: None, PLACE, budget.Allowance())
@@ -416,4 +418,4 @@
     source = make_source(None, peers)
     for place, at_s in heard.items():
         source.attendance.heard(names[int(place)], at_s)
-    assert source.silent_instances(10.0) == [names[int(each)] for each in sorted(missed)]
+    assert source.silent_instances(10.0) == [names[int(each)] for each in sorted(silent_names)]
--- a/tests/entry/test_sliding_maximum.py
+++ b/tests/entry/test_sliding_maximum.py
@@ -1,4 +1,4 @@
-"""The largest value of late."""
+"""The maximum over a sliding window."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 @hypothesis.settings(derandomize=True)
 @hypothesis.given(_STEPS)
-def test_as_all_values_of_the_window_would_tell(steps):
-    """Whatever is noted and asked, in any rhythm, the answer is that of the plain definition."""
-    maximum, noted, now_s = sliding_maximum.SlidingMaximum(WINDOW_S), [], 0.0
+def test_equals_the_maximum_of_all_values_in_the_window(steps):
+    """For any sequence and timing of calls, the result equals the plain definition's."""
+    maximum, added, now_s = sliding_maximum.SlidingMaximum(WINDOW_S), [], 0.0
     for pause_s, value in steps:
         now_s += pause_s
         if value is not None:
-            noted.append((now_s, value))
+            added.append((now_s, value))
             maximum.add(now_s, value)
-        plain = max((each for at_s, each in noted if at_s > now_s - WINDOW_S), default=0)
-        assert maximum.get(now_s) == plain
+        expected = max((each for at_s, each in added if at_s > now_s - WINDOW_S), default=0)
+        assert maximum.get(now_s) == expected
 
 
 @pytest.mark.parametrize(
@@ -38,10 +38,10 @@
         pytest.param([*range(1, 301), *range(299, 289, -1)], 11, id="some leave"),
     ],
 )
-def test_how_many_are_held(values, held):
+def test_number_of_values_held(values, held):
     """
-    Three hundred instances start, and for fifteen seconds each is slow to answer its callers: for
-    every replica that it looks at it scans the three hundred counts noted since.
+    Guards against slow answers for fifteen seconds after three hundred instances start: each
+    instance scanned the three hundred recorded counts for every replica it considered.
     """
     maximum = sliding_maximum.SlidingMaximum(WINDOW_S)
     for value in values:
--- a/tests/entry/test_view.py
+++ b/tests/entry/test_view.py
@@ -1,4 +1,4 @@
-"""What an instance believes, as news come in any order."""
+"""The view of an instance, as snapshots and changes arrive in any order."""
 
 from __future__ import annotations
 
@@ -68,10 +68,10 @@
 
 
 @pytest.mark.parametrize(("versions", "final"), [([1, 2], 2), ([2, 1], 2), ([5, 5, 3, 9, 8], 9)])
-def test_a_configuration_never_goes_back(versions, final):
+def test_configuration_never_reverts(versions, final):
     """
-    A slow reading arrives after a newer version came by another way. Taken over, callers would be
-    handled by rules that they have already seen replaced.
+    Guards against a slow snapshot that arrives after a newer version was received another way: with
+    it applied, callers are served under rules that they have already seen replaced.
     """
     view, _ = make_view()
     for revision, version in enumerate(versions):
@@ -83,11 +83,13 @@
     return source.Written(f"v/{data_centre}", source.Evacuation(data_centre), revision)
 
 
-@pytest.mark.parametrize("away", [True, False], ids=["source away", "in calm"])
-def test_an_evacuation_is_in_force_until_its_key_goes(away):
+@pytest.mark.parametrize(
+    "unreachable", [True, False], ids=["source unreachable", "normal operation"]
+)
+def test_evacuation_lasts_until_its_key_is_removed(unreachable):
     """
-    Entries that vanish beside an outage are held for their return. An evacuation that was taken
-    back stayed in force as long.
+    Guards against an evacuation that outlasts its withdrawal: entries that disappear around an
+    outage are held for a time, and a withdrawn evacuation stayed in force for as long.
     """
     view, clock = make_view()
     view.take_snapshot(source.Snapshot((evacuated("a", 1), evacuated("b", 2)), 2))
@@ -95,7 +97,7 @@
     clock.now_s += 4
     view.take_changes(source.Changes((evacuated("a", 3),), 3))
     assert view.replicas.evacuated["a"] == clock.now_s - 4
-    if away:
+    if unreachable:
         view.source_lost("timeout")
     view.take_changes(source.Changes((source.Removed("v/a", 4),), 4))
     assert set(view.replicas.evacuated) == {"b"}
@@ -105,26 +107,29 @@
     assert not view.replicas.evacuated
 
 
-def test_an_evacuation_in_lost_history_is_passed_on():
-    """Instances that ask another one for news never heard of what a fresh reading had brought."""
+def test_evacuation_in_lost_history_is_relayed():
+    """
+    Guards against changes that only the relay knows: after lost history it learnt them from a fresh
+    snapshot, and the instances that it serves never received them.
+    """
     view, _ = make_view()
     view.take_snapshot(source.Snapshot((evacuated("a", 1),), 1))
     found = view.changes_in(source.Snapshot((evacuated("b", 3),), 3))
     assert found.changes == (evacuated("b", 3), source.Removed("v/a", 3))
 
 
-def test_a_removed_replica_is_gone_at_once_in_calm():
+def test_removed_replica_is_dropped_at_once_in_normal_operation():
     view, _ = make_view()
     view.take_snapshot(source.Snapshot(tuple(replica(f"i{n}", 1) for n in range(8)), 1))
     view.take_changes(source.Changes((source.Removed("r/i0", 2),), 2))
     assert "i0" not in view.replicas.instances()
 
 
-def test_a_removal_older_than_the_entry_is_passed_over():
+def test_removal_older_than_the_entry_is_ignored():
     """
-    A first reading is followed from its oldest page, so that the news repeat what a newer page has
-    shown already: a replica's entry lapsed and was written again. Taken for gone, the replica gets
-    no requests until its entry changes again, which may be never.
+    Guards against a replica that gets no requests until its entry changes again, which may be
+    never. Changes are requested from the oldest page of the first snapshot, so they repeat what a
+    newer page has already shown: here, that the entry expired and was written again.
     """
     view, _ = make_view()
     view.take_snapshot(source.Snapshot((replica("a", 7),), 3))
@@ -134,16 +139,19 @@
     assert "a" not in view.replicas.instances()
 
 
-@pytest.mark.parametrize("away", [True, False], ids=["store away", "lapse not noticed"])
-def test_entries_that_lapse_with_the_store_are_kept_for_their_return(away):
+@pytest.mark.parametrize(
+    "unreachable", [True, False], ids=["store unreachable", "expiry not noticed"]
+)
+def test_entries_that_expire_in_an_outage_are_held(unreachable):
     """
-    The store is down and leases run out; when it is back, all replicas seem gone and register again
-    within two seconds. Taken for gone at once, every query is refused for these two seconds.
+    Guards against two seconds in which every query is refused: leases expire while the store is
+    down, so that all replicas appear to be removed when it returns, and register again within two
+    seconds.
     """
     view, clock = make_view()
     written = tuple(replica(f"i{n}", 1) for n in range(8))
     view.take_snapshot(source.Snapshot(written, 1))
-    if away:
+    if unreachable:
         view.source_lost("timeout")
         clock.now_s += 5
         view.source_regained()
@@ -159,9 +167,9 @@
     assert not any(each.leaving for each in view.replicas.all())
 
 
-@pytest.mark.parametrize("relayed", [False, True], ids=["by a reading", "by an instance"])
-def test_what_a_copy_has_not_is_held_until_it_is_written_again(relayed):
-    """Guards against replicas that get nothing as the copy is older than their entries."""
+@pytest.mark.parametrize("relayed", [False, True], ids=["by a snapshot", "by a relay"])
+def test_replica_missing_from_a_copy_is_held_until_rewritten(relayed):
+    """Guards against replicas that get no requests because the copy is older than their entries."""
     view, clock = make_view()
     view.take_snapshot(source.Snapshot((replica("a", 5), replica("b", 9)), 9, 1))
     clock.now_s += 60
@@ -180,8 +188,8 @@
 
 @pytest.mark.parametrize("revision", [4, 9, 12], ids=["lower", "the same", "higher"])
 @pytest.mark.parametrize("returns", [1, 2])
-def test_what_is_written_after_a_return_from_a_copy_counts(revision, returns):
-    """Guards against changes that are dropped since their revisions were seen before the return."""
+def test_writes_after_a_restore_are_applied(revision, returns):
+    """Guards against dropping changes whose revisions were already seen before the restore."""
     view, clock = make_view()
     view.take_snapshot(source.Snapshot((configured(3, 9), replica("a", 8)), 9, 1))
     era = 1 + returns
@@ -197,8 +205,8 @@
     assert not view.replicas.instances()
 
 
-def test_an_evacuation_that_a_copy_has_not_is_held_until_it_is_written_again():
-    """Guards against requests to an evacuated data centre as the copy is older than its key."""
+def test_evacuation_missing_from_a_copy_is_held_until_rewritten():
+    """Guards against requests to an evacuated data centre whose key is missing in an older copy."""
     view, clock = make_view()
     view.take_snapshot(source.Snapshot((evacuated("a", 8), evacuated("b", 9)), 9, 1))
     view.take_snapshot(source.Snapshot((), 7, 2))
@@ -219,10 +227,10 @@
         ({"sequence": 5}, False),
         ({"sequence": 1, "born_ms": 2000}, False),
     ],
-    ids=["nothing", "older word", "newer word", "another start"],
+    ids=["nothing", "older entry", "newer entry", "another start"],
 )
-def test_a_draining_replica_is_not_ready_again_by_an_older_entry(again, leaving):
-    """Guards against requests to a leaving replica as a copy holds what it said before."""
+def test_older_entry_does_not_end_draining(again, leaving):
+    """Guards against requests to a leaving replica because a copy holds its former entry."""
     view, _ = make_view()
     said = replica("a", 9, draining=True, born_ms=1000, sequence=4)
     view.take_snapshot(source.Snapshot((said,), 9, 1))
@@ -236,8 +244,8 @@
     assert not view.replicas.instances() or view._held
 
 
-def test_only_what_differs_is_passed_on_after_a_return_from_a_copy():
-    """Guards against a return that has every relay tell all entries to its whole data centre."""
+def test_only_differences_are_relayed_after_a_restore():
+    """Guards against a restore that makes every relay send all entries to its whole data centre."""
     view, _ = make_view()
     view.take_snapshot(source.Snapshot((replica("a", 5), replica("b", 9), replica("c", 3)), 9, 1))
     shown = [attrs.evolve(each, era=2) for each in (replica("a", 5), replica("b", 7))]
@@ -249,7 +257,7 @@
     assert found.position == source.Position(2, 7)
 
 
-def test_nothing_is_taken_for_gone_while_the_store_is_away():
+def test_nothing_is_removed_while_the_store_is_unreachable():
     view, clock = make_view()
     view.take_snapshot(source.Snapshot((replica("a", 1), replica("b", 1)), 1))
     view.source_lost("timeout")
@@ -259,11 +267,11 @@
     assert "a" in view.replicas.instances()
 
 
-def test_the_time_to_return_counts_from_the_return():
+def test_hold_time_counts_from_recovery_of_the_store():
     """
-    Entries lapse early in a long outage of which this instance hears through an open question.
-    Counted from the lapse, the time to return is over before the store is back, and every replica
-    is taken for gone in the moment in which they all register again.
+    Guards against removing every replica just when all of them register again: entries expire early
+    in a long outage, which this instance learns through a pending request for changes. A hold time
+    that counts from the expiry is over before the store is back.
     """
     view, clock = make_view()
     view.take_snapshot(source.Snapshot((replica("a", 1),), 1))
@@ -278,7 +286,7 @@
     assert "a" not in view.replicas.instances()
 
 
-def test_a_draining_replica_gets_nothing_new():
+def test_draining_replica_gets_no_new_requests():
     view, clock = make_view()
     view.take_snapshot(source.Snapshot((replica("a", 1), replica("b", 1)), 1))
     view.take_changes(source.Changes((replica("a", 2, draining=True),), 2))
@@ -286,8 +294,8 @@
     assert view.replicas.choose("s", route, (), clock.now_s).entry.instance == "b"
 
 
-def learnt(view, instance):
-    """Teach a view all that it can learn of a replica, and return what it learnt it of."""
+def set_learnt_state(view, instance):
+    """Set all learnt state of a replica in a view, and return the replica."""
     (known,) = (each for each in view.replicas.all() if each.entry.instance == instance)
     known.pace, known.trouble, known.failures, known.ejections = 9.0, 0.9, 3, 2
     known.ejected_until_s = known.full_until_s = known.elsewhere_until_s = 1e9
@@ -296,15 +304,15 @@
 
 @pytest.mark.parametrize("way", ["change", "snapshot"])
 @pytest.mark.parametrize("draining", [True, False])
-def test_a_replica_that_starts_again_under_its_name_is_another_one(way, draining):
+def test_restarted_replica_keeps_no_state(way, draining):
     """
-    A replica was slow, failed and was draining, crashed, and starts again under its old name. Held
-    for the one before, it is passed over for seconds, its requests go out on connections that are
-    dead, and it is taken to drain though it serves.
+    Guards against a restarted replica that inherits the state of the one before. That one was slow,
+    failing and draining, and crashed; the new one under the same name is then skipped for seconds,
+    gets its requests on dead connections, and counts as draining although it serves.
     """
     view, clock = make_view()
     view.take_snapshot(source.Snapshot((replica("a", 1, draining, born_ms=1000),), 1))
-    former = learnt(view, "a")
+    former = set_learnt_state(view, "a")
     again = replica("a", 2, born_ms=2500)
     if way == "change":
         view.take_changes(source.Changes((again,), 2))
@@ -317,7 +325,7 @@
     assert former.pool.closed and not known.pool.closed
 
 
-def test_an_older_start_is_known_behind_an_unreadable_entry():
+def test_older_start_is_recognised_after_an_unreadable_entry():
     view, _ = make_view()
     view.take_snapshot(source.Snapshot((replica("a", 3, born_ms=2500),), 3))
     older = replica("a", 5, born_ms=1000)
@@ -326,10 +334,10 @@
 
 
 @pytest.mark.parametrize("gone", [False, True], ids=["still there", "gone meanwhile"])
-def test_an_older_start_that_is_told_late_changes_nothing(gone):
+def test_late_entry_of_an_older_start_is_ignored(gone):
     """
-    The last write of a process that crashed got no answer and is carried out seconds later, behind
-    the first one of its next start. Taken over, the replica is looked for at its old address.
+    Guards against requests to the old address of a replica: the last write of its crashed process
+    got no answer and takes effect seconds later, after the first write of its next start.
     """
     view, clock = make_view()
     view.take_snapshot(source.Snapshot((replica("a", 3, born_ms=2500, port=2),), 3))
@@ -344,7 +352,7 @@
     assert known.entry.port == 2
 
 
-def test_starts_are_remembered_within_bounds(monkeypatch):
+def test_number_of_remembered_starts_is_limited(monkeypatch):
     monkeypatch.setattr(view_module, "MAX_REMEMBERED_STARTS", 3)
     view, _ = make_view()
     for number in range(9):
@@ -355,22 +363,23 @@
     assert list(view._born_ms) == ["r/i6", "r/i7", "r/i8"]
 
 
-def test_an_entry_that_becomes_unreadable_names_no_replica():
+def test_replica_with_unreadable_entry_is_removed():
     """
-    Somebody overwrites a replica's good entry. What it said before is no longer said: the replica
-    gets nothing until its own next entry, and the others are used as before.
+    The valid entry of a replica is overwritten with an unreadable value. Its former content no
+    longer applies: the replica gets no requests until it writes its next entry, and the other
+    replicas are used as before.
     """
     view, _ = make_view()
     view.take_snapshot(source.Snapshot((replica("a", 1), replica("b", 2)), 2))
     view.take_changes(source.Changes((unreadable("r/a", 3),), 3))
     assert view.replicas.instances() == {"b"}
     view.take_changes(source.Changes((replica("a", 2), unreadable("r/c", 4)), 4))
-    assert view.replicas.instances() == {"b"}, "what came before it does not bring it back"
+    assert view.replicas.instances() == {"b"}, "an earlier entry must not restore the replica"
     view.take_changes(source.Changes((replica("a", 5), replica("c", 6)), 6))
     assert view.replicas.instances() == {"a", "b", "c"}
 
 
-def test_an_unreadable_entry_that_is_removed_leaves_nothing():
+def test_removed_unreadable_entry_leaves_no_trace():
     view, _ = make_view()
     view.take_snapshot(source.Snapshot((unreadable("r/a", 1), replica("b", 2)), 2))
     view.take_changes(source.Changes((source.Removed("r/a", 3),), 3))
@@ -378,7 +387,7 @@
     assert view.replicas.instances() == {"a", "b"}
 
 
-def test_a_configuration_that_becomes_unreadable_stays_in_force():
+def test_unreadable_configuration_keeps_the_last_in_force():
     view, _ = make_view()
     view.take_snapshot(source.Snapshot((configured(4, 1),), 1))
     view.take_changes(source.Changes((unreadable("config", 2),), 2))
@@ -388,7 +397,7 @@
 
 
 def test_instances_with_unreadable_entries():
-    """Another's is told to callers no more; the own is written again."""
+    """Callers are no longer given another instance's address; the own entry is written again."""
     view, _ = make_view()
     view.take_snapshot(source.Snapshot((instance("own", 1), instance("x", 1)), 1))
     view.take_changes(source.Changes((unreadable("e/own", 2), unreadable("e/x", 3)), 3))
@@ -396,10 +405,10 @@
     assert set(view.instances) == {"own"}
 
 
-def test_the_own_entry_is_missed_but_not_forgotten():
+def test_removal_of_the_own_entry_is_noticed():
     """
-    The platform ends an instance's lease while the instance runs on. Unnoticed, callers would not
-    be told of it any more, though it serves.
+    Guards against a running instance whose address callers are no longer given: the platform ended
+    its lease, and the instance did not notice the removal of its entry.
     """
     view, _ = make_view()
     view.take_snapshot(source.Snapshot((instance("own", 1), instance("x", 1)), 1))
@@ -408,11 +417,12 @@
     assert set(view.instances) == {"own"}
 
 
-def test_instances_that_left_count_for_a_while():
+def test_removed_instances_count_for_a_while():
     view, clock = make_view()
     """
-    The platform takes entries of running instances away. Counted out at once, the others take over
-    their part of the budget of extra sends, while they go on using it themselves.
+    Guards against a retry budget that is exceeded: the platform removes entries of instances that
+    still run. If they stop counting at once, the others take over their share of the budget, while
+    the removed instances continue to use it.
     """
     view.take_snapshot(source.Snapshot(tuple(instance(f"x{n}", 1) for n in range(7)), 1))
     clock.now_s += 60
@@ -425,8 +435,8 @@
 
 class Following(stateful.RuleBasedStateMachine):
     """
-    The store's true content and a view that follows it, with outages, lost history, and returns
-    from a copy whose revisions are given out again.
+    The actual content of the store and a view that follows it, through outages, lost history, and
+    restores from a copy after which revisions are assigned again.
     """
 
     def __init__(self):
@@ -440,11 +450,11 @@
         self.synced = False
         self.era = 1
         self.copies = []
-        self.said = 0
+        self.entry_sequence = 0
         self.learnt = set()
-        """The starts of replicas that the view was told of, by number and time."""
-        self.owed = {}
-        """What others than the system wrote since the copy, and write again; ``None``: removed."""
+        """The starts of replicas that the view knows, by number and time."""
+        self.lost_writes = {}
+        """Writes of others since the copy, which they repeat, by key; ``None``: a removal."""
 
     def _keep_copy(self):
         self.copies.append((self.revision, dict(self.content)))
@@ -455,7 +465,7 @@
         key = written(self.revision).key
         self.content[key] = attrs.evolve(written(self.revision), era=self.era)
         self.pending.append(self.content[key])
-        self.owed.pop(key, None)
+        self.lost_writes.pop(key, None)
 
     @stateful.rule(
         number=strategies.integers(0, 5),
@@ -464,21 +474,24 @@
     )
     def write_replica(self, number, draining, again):
         self.born_ms[number] = born_ms = self.born_ms.get(number, 1000) + 700 * again
-        self.said += 1
-        said = self.said
+        self.entry_sequence += 1
+        entry_sequence = self.entry_sequence
         self._write(
-            lambda revision: replica(f"i{number}", revision, draining, born_ms, sequence=said)
+            lambda revision: replica(
+                f"i{number}", revision, draining, born_ms, sequence=entry_sequence
+            )
         )
 
     @stateful.rule(number=strategies.integers(0, 5))
-    def spoil_replica(self, number):
+    def make_replica_unreadable(self, number):
         if f"r/i{number}" in self.content:
             self._write(lambda revision: unreadable(f"r/i{number}", revision))
 
     @stateful.rule(number=strategies.integers(0, 5))
     def write_of_an_older_start_is_carried_out(self, number):
-        """It stands in the store until the newer start's next entry; the view takes no note."""
-        # The view can tell an older start only from one that it has learnt of, or will before it.
+        """The store holds it until the next entry of the newer start; the view ignores it."""
+        # The view recognises an older start only if it already knows the newer one, or receives it
+        # first.
         newest = self.content.get(f"r/i{number}")
         learnt = (number, self.born_ms.get(number)) in self.learnt
         if isinstance(newest, source.Written) or newest and learnt:
@@ -503,38 +516,38 @@
         self.revision += 1
         del self.content[key]
         self.pending.append(source.Removed(key, self.revision, self.era))
-        self.owed.pop(key, None)
+        self.lost_writes.pop(key, None)
 
     @stateful.rule(
         changes=strategies.integers(0, 6), again=strategies.booleans(), read=strategies.booleans()
     )
     def return_from_copy(self, changes, again, read):
-        """Lose the latest changes; their revisions are given out again."""
+        """Lose the latest changes; their revisions are assigned again."""
         before = self.content
         for _ in range(min(changes, len(self.copies))):
             self.revision, self.content = self.copies.pop()
         for key in before.keys() | self.content.keys():
             if before.get(key) != self.content.get(key):
-                self.owed.setdefault(key, before.get(key))
+                self.lost_writes.setdefault(key, before.get(key))
         self.content = {
             key: attrs.evolve(each, era=self.era + 1) for key, each in self.content.items()
         }
         self.era += 1
         self.pending, self.synced = [], False
         if again:
-            self.write_again()
+            self.repeat_lost_writes()
         if read:
-            self.read_anew()
+            self.read_snapshot()
 
     @stateful.rule()
-    def write_again(self):
-        """The operator and the replicas write again what the copy had not."""
-        for key, each in list(self.owed.items()):
+    def repeat_lost_writes(self):
+        """The operator and the replicas repeat the writes that the copy lacks."""
+        for key, each in list(self.lost_writes.items()):
             if each is not None:
                 self._write(lambda revision, each=each: attrs.evolve(each, revision=revision))
             elif key in self.content:
                 self._remove(key)
-        self.owed = {}
+        self.lost_writes = {}
 
     @stateful.rule()
     def deliver_changes(self):
@@ -551,7 +564,7 @@
                 self.learnt.add((int(each.key[3:]), each.value.born_ms))
 
     @stateful.rule()
-    def read_anew(self):
+    def read_snapshot(self):
         self.view.source_regained()
         written = tuple(self.content.values())
         self.view.take_snapshot(source.Snapshot(written, self.revision, self.era))
@@ -559,7 +572,7 @@
         self.pending, self.synced = [], True
 
     @stateful.rule()
-    def lose_the_store(self):
+    def store_becomes_unreachable(self):
         self.view.source_lost("timeout")
 
     @stateful.rule(seconds=strategies.floats(0.1, 5.0))
@@ -568,16 +581,16 @@
         self.view.expire_held()
 
     @stateful.invariant()
-    def versions_only_rise(self):
+    def versions_only_increase(self):
         now = self.view.configuration.version if self.view.configuration else 0
         assert now >= getattr(self, "seen", 0)
         self.seen = now
 
     @stateful.invariant()
-    def settles_on_the_truth(self):
+    def converges_to_the_store(self):
         if (
             self.pending
-            or self.owed
+            or self.lost_writes
             or not self.synced
             or self.view._unreachable_since_s is not None
         ):
@@ -592,8 +605,8 @@
         }
         assert self.view.replicas.instances() == expected
         for each in self.view.replicas.all():
-            told = self.content[f"r/{each.entry.instance}"].value
-            assert (each.leaving, each.entry.born_ms) == (told.draining, told.born_ms)
+            stored = self.content[f"r/{each.entry.instance}"].value
+            assert (each.leaving, each.entry.born_ms) == (stored.draining, stored.born_ms)
 
 
 TestFollowing = Following.TestCase
