--- a/src/turmericlug/entry/view.py
+++ b/src/turmericlug/entry/view.py
@@ -133,7 +133,7 @@
     def _record_count(self) -> None:
         self._instance_counts.add(self._now_s(), len(self.instances))
 
-    def take_snapshot(self, snapshot: source.Snapshot) -> None:
+    def apply_snapshot(self, snapshot: source.Snapshot) -> None:
         """Apply a full snapshot; entries missing from it have been removed."""
         self._update_era(snapshot.era)
         present = {written.key for written in snapshot.written}
@@ -143,7 +143,7 @@
             self._apply(written)
         self._handle_removed([key for key in missing if key not in self._held], snapshot.revision)
 
-    def take_changes(self, changes: source.Changes) -> None:
+    def apply_changes(self, changes: source.Changes) -> None:
         """Apply changes, in order."""
         removed = []
         self._update_era(changes.era)
--- a/tests/entry/test_beliefs.py
+++ b/tests/entry/test_beliefs.py
@@ -47,7 +47,7 @@
         view = view_module.View("e-1", replicas, peers, loop.time)
         if snapshot:
             view.source_regained()
-            view.take_snapshot(source.Snapshot(tuple(snapshot), 1))
+            view.apply_snapshot(source.Snapshot(tuple(snapshot), 1))
             replicas.of("x")[1].ejected_until_s = loop.time() + 60
         quarantine = quarantine_module.Quarantine(counters.Counters(), loop.time)
         for number, request in enumerate(held):
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -267,7 +267,7 @@
             )
             configuration = routes.Configuration(3, (route,), {}, messages.Limits())
             written = source.Written("config", configuration, 1)
-            view.take_snapshot(source.Snapshot((written,), 1))
+            view.apply_snapshot(source.Snapshot((written,), 1))
         return await asked
 
     assert asyncio.run(main()).status == status
--- a/tests/entry/test_deregistration.py
+++ b/tests/entry/test_deregistration.py
@@ -67,7 +67,7 @@
 
     peers = replicas_module.Replicas(make_pool, scripted.PLACE, budget.Allowance())
     view = view_module.View("own", peers, peers, lambda: now_s)
-    view.take_snapshot(source_module.Snapshot((instance("a"), instance("b")), 3))
+    view.apply_snapshot(source_module.Snapshot((instance("a"), instance("b")), 3))
     view.source_regained(age_s)
     totals = counters.Counters()
     source = Source(outcome)
--- a/tests/entry/test_follower.py
+++ b/tests/entry/test_follower.py
@@ -232,7 +232,7 @@
     and lease were still valid.
     """
     source, view = Source(keeps=keeps), make_view()
-    view.take_snapshot(source_module.Snapshot((entry,), 3))
+    view.apply_snapshot(source_module.Snapshot((entry,), 3))
 
     async def main():
         await while_running(stay_registered(source, view), lambda: not source.steps["keep"])
@@ -325,7 +325,7 @@
 def test_registration_is_revalidated_after_restore(shown, kept, registered):
     """Guards against renewing a lease whose number now belongs to another instance."""
     source, view = Source(keeps=[1]), make_view()
-    view.take_snapshot(source_module.Snapshot((), 5, 1))
+    view.apply_snapshot(source_module.Snapshot((), 5, 1))
     source.era = 1
 
     async def main():
@@ -335,7 +335,7 @@
                 await asyncio.sleep(0.001)
             source.era = 2
             written = () if shown is None else (attrs.evolve(shown, era=2),)
-            view.take_snapshot(source_module.Snapshot(written, 4, 2))
+            view.apply_snapshot(source_module.Snapshot(written, 4, 2))
             source.steps["keep"] = [1, 1]
             while source.kept[-1:] != kept[-1:] or len(source.kept) < len(kept):
                 await asyncio.sleep(0.001)
--- a/tests/entry/test_view.py
+++ b/tests/entry/test_view.py
@@ -75,7 +75,7 @@
     """
     view, _ = make_view()
     for revision, version in enumerate(versions):
-        view.take_snapshot(source.Snapshot((configured(version, revision + 1),), revision + 1))
+        view.apply_snapshot(source.Snapshot((configured(version, revision + 1),), revision + 1))
     assert view.configuration.version == final
 
 
@@ -92,18 +92,18 @@
     outage are held for a time, and a withdrawn evacuation stayed in force for as long.
     """
     view, clock = make_view()
-    view.take_snapshot(source.Snapshot((evacuated("a", 1), evacuated("b", 2)), 2))
+    view.apply_snapshot(source.Snapshot((evacuated("a", 1), evacuated("b", 2)), 2))
     assert set(view.replicas.evacuated) == {"a", "b"}
     clock.now_s += 4
-    view.take_changes(source.Changes((evacuated("a", 3),), 3))
+    view.apply_changes(source.Changes((evacuated("a", 3),), 3))
     assert view.replicas.evacuated["a"] == clock.now_s - 4
     if unreachable:
         view.source_lost("timeout")
-    view.take_changes(source.Changes((source.Removed("v/a", 4),), 4))
+    view.apply_changes(source.Changes((source.Removed("v/a", 4),), 4))
     assert set(view.replicas.evacuated) == {"b"}
-    view.take_changes(source.Changes((source.Removed("v/b", 5), evacuated("b", 6)), 6))
+    view.apply_changes(source.Changes((source.Removed("v/b", 5), evacuated("b", 6)), 6))
     assert set(view.replicas.evacuated) == {"b"}
-    view.take_snapshot(source.Snapshot((), 9))
+    view.apply_snapshot(source.Snapshot((), 9))
     assert not view.replicas.evacuated
 
 
@@ -113,15 +113,15 @@
     snapshot, and the instances that it serves never received them.
     """
     view, _ = make_view()
-    view.take_snapshot(source.Snapshot((evacuated("a", 1),), 1))
+    view.apply_snapshot(source.Snapshot((evacuated("a", 1),), 1))
     found = view.changes_in(source.Snapshot((evacuated("b", 3),), 3))
     assert found.changes == (evacuated("b", 3), source.Removed("v/a", 3))
 
 
 def test_removed_replica_is_dropped_at_once_in_normal_operation():
     view, _ = make_view()
-    view.take_snapshot(source.Snapshot(tuple(replica(f"i{n}", 1) for n in range(8)), 1))
-    view.take_changes(source.Changes((source.Removed("r/i0", 2),), 2))
+    view.apply_snapshot(source.Snapshot(tuple(replica(f"i{n}", 1) for n in range(8)), 1))
+    view.apply_changes(source.Changes((source.Removed("r/i0", 2),), 2))
     assert "i0" not in view.replicas.instances()
 
 
@@ -132,10 +132,10 @@
     newer page has already shown: here, that the entry expired and was written again.
     """
     view, _ = make_view()
-    view.take_snapshot(source.Snapshot((replica("a", 7),), 3))
-    view.take_changes(source.Changes((replica("a", 4), source.Removed("r/a", 5)), 5))
+    view.apply_snapshot(source.Snapshot((replica("a", 7),), 3))
+    view.apply_changes(source.Changes((replica("a", 4), source.Removed("r/a", 5)), 5))
     assert "a" in view.replicas.instances()
-    view.take_changes(source.Changes((source.Removed("r/a", 8),), 8))
+    view.apply_changes(source.Changes((source.Removed("r/a", 8),), 8))
     assert "a" not in view.replicas.instances()
 
 
@@ -150,17 +150,17 @@
     """
     view, clock = make_view()
     written = tuple(replica(f"i{n}", 1) for n in range(8))
-    view.take_snapshot(source.Snapshot(written, 1))
+    view.apply_snapshot(source.Snapshot(written, 1))
     if unreachable:
         view.source_lost("timeout")
         clock.now_s += 5
         view.source_regained()
     removed = tuple(source.Removed(each.key, 2) for each in written)
-    view.take_changes(source.Changes(removed, 2))
+    view.apply_changes(source.Changes(removed, 2))
     view.expire_held()
     assert len(view.replicas) == 8
     back = tuple(replica(f"i{n}", 3) for n in range(6))
-    view.take_changes(source.Changes(back, 3))
+    view.apply_changes(source.Changes(back, 3))
     clock.now_s += view_module.RETURN_HOLD_S + 0.1
     view.expire_held()
     assert view.replicas.instances() == {f"i{n}" for n in range(6)}
@@ -171,16 +171,16 @@
 def test_replica_missing_from_a_copy_is_held_until_rewritten(relayed):
     """Guards against replicas that get no requests because the copy is older than their entries."""
     view, clock = make_view()
-    view.take_snapshot(source.Snapshot((replica("a", 5), replica("b", 9)), 9, 1))
+    view.apply_snapshot(source.Snapshot((replica("a", 5), replica("b", 9)), 9, 1))
     clock.now_s += 60
     if relayed:
-        view.take_changes(source.Changes((source.Removed("r/b", 7, 2),), 7, era=2))
+        view.apply_changes(source.Changes((source.Removed("r/b", 7, 2),), 7, era=2))
     else:
-        view.take_snapshot(source.Snapshot((attrs.evolve(replica("a", 5), era=2),), 7, 2))
+        view.apply_snapshot(source.Snapshot((attrs.evolve(replica("a", 5), era=2),), 7, 2))
     view.expire_held()
     assert view.replicas.instances() == {"a", "b"}
     again = attrs.evolve(replica("b", 8), era=2)
-    view.take_changes(source.Changes((again,), 8, era=2))
+    view.apply_changes(source.Changes((again,), 8, era=2))
     clock.now_s += view_module.RETURN_HOLD_S + 0.1
     view.expire_held()
     assert view.replicas.instances() == {"a", "b"}
@@ -191,31 +191,31 @@
 def test_writes_after_a_restore_are_applied(revision, returns):
     """Guards against dropping changes whose revisions were already seen before the restore."""
     view, clock = make_view()
-    view.take_snapshot(source.Snapshot((configured(3, 9), replica("a", 8)), 9, 1))
+    view.apply_snapshot(source.Snapshot((configured(3, 9), replica("a", 8)), 9, 1))
     era = 1 + returns
     for each in range(2, era + 1):
-        view.take_snapshot(source.Snapshot((attrs.evolve(configured(2, 3), era=each),), 3, each))
+        view.apply_snapshot(source.Snapshot((attrs.evolve(configured(2, 3), era=each),), 3, each))
     written = (configured(4, revision), replica("a", revision, draining=True))
     changes = tuple(attrs.evolve(each, era=era) for each in written)
-    view.take_changes(source.Changes(changes, revision, era=era))
+    view.apply_changes(source.Changes(changes, revision, era=era))
     assert view.configuration.version == 4
     assert all(each.leaving for each in view.replicas.all())
     clock.now_s += 60
-    view.take_changes(source.Changes((source.Removed("r/a", revision + 1, era),), 13, era=era))
+    view.apply_changes(source.Changes((source.Removed("r/a", revision + 1, era),), 13, era=era))
     assert not view.replicas.instances()
 
 
 def test_evacuation_missing_from_a_copy_is_held_until_rewritten():
     """Guards against requests to an evacuated data centre whose key is missing in an older copy."""
     view, clock = make_view()
-    view.take_snapshot(source.Snapshot((evacuated("a", 8), evacuated("b", 9)), 9, 1))
-    view.take_snapshot(source.Snapshot((), 7, 2))
+    view.apply_snapshot(source.Snapshot((evacuated("a", 8), evacuated("b", 9)), 9, 1))
+    view.apply_snapshot(source.Snapshot((), 7, 2))
     assert set(view.replicas.evacuated) == {"a", "b"}
-    view.take_changes(source.Changes((attrs.evolve(evacuated("a", 8), era=2),), 8, era=2))
+    view.apply_changes(source.Changes((attrs.evolve(evacuated("a", 8), era=2),), 8, era=2))
     clock.now_s += view_module.RETURN_HOLD_S + 0.1
     view.expire_held()
     assert set(view.replicas.evacuated) == {"a"}
-    view.take_changes(source.Changes((source.Removed("v/a", 9, 2),), 9, era=2))
+    view.apply_changes(source.Changes((source.Removed("v/a", 9, 2),), 9, era=2))
     assert not view.replicas.evacuated
 
 
@@ -233,21 +233,21 @@
     """Guards against requests to a leaving replica because a copy holds its former entry."""
     view, _ = make_view()
     said = replica("a", 9, draining=True, born_ms=1000, sequence=4)
-    view.take_snapshot(source.Snapshot((said,), 9, 1))
+    view.apply_snapshot(source.Snapshot((said,), 9, 1))
     older = replica("a", 5, born_ms=1000, sequence=2)
-    view.take_snapshot(source.Snapshot((attrs.evolve(older, era=2),), 7, 2))
+    view.apply_snapshot(source.Snapshot((attrs.evolve(older, era=2),), 7, 2))
     if again:
         written = replica("a", 8, **({"born_ms": 1000} | again))
-        view.take_changes(source.Changes((attrs.evolve(written, era=2),), 8, era=2))
+        view.apply_changes(source.Changes((attrs.evolve(written, era=2),), 8, era=2))
     assert [each.leaving for each in view.replicas.all()] == [leaving]
-    view.take_changes(source.Changes((source.Removed("r/a", 9, 2),), 9, era=2))
+    view.apply_changes(source.Changes((source.Removed("r/a", 9, 2),), 9, era=2))
     assert not view.replicas.instances() or view._held
 
 
 def test_only_differences_are_relayed_after_a_restore():
     """Guards against a restore that makes every relay send all entries to its whole data centre."""
     view, _ = make_view()
-    view.take_snapshot(source.Snapshot((replica("a", 5), replica("b", 9), replica("c", 3)), 9, 1))
+    view.apply_snapshot(source.Snapshot((replica("a", 5), replica("b", 9), replica("c", 3)), 9, 1))
     shown = [attrs.evolve(each, era=2) for each in (replica("a", 5), replica("b", 7))]
     found = view.changes_in(source.Snapshot(tuple(shown), 7, 2))
     assert [(each.key, type(each)) for each in found.changes] == [
@@ -259,9 +259,9 @@
 
 def test_nothing_is_removed_while_the_store_is_unreachable():
     view, clock = make_view()
-    view.take_snapshot(source.Snapshot((replica("a", 1), replica("b", 1)), 1))
+    view.apply_snapshot(source.Snapshot((replica("a", 1), replica("b", 1)), 1))
     view.source_lost("timeout")
-    view.take_changes(source.Changes((source.Removed("r/a", 2),), 2))
+    view.apply_changes(source.Changes((source.Removed("r/a", 2),), 2))
     clock.now_s += 60
     view.expire_held()
     assert "a" in view.replicas.instances()
@@ -274,9 +274,9 @@
     that counts from the expiry is over before the store is back.
     """
     view, clock = make_view()
-    view.take_snapshot(source.Snapshot((replica("a", 1),), 1))
+    view.apply_snapshot(source.Snapshot((replica("a", 1),), 1))
     view.source_lost("timeout")
-    view.take_changes(source.Changes((source.Removed("r/a", 2),), 2))
+    view.apply_changes(source.Changes((source.Removed("r/a", 2),), 2))
     clock.now_s += 30
     view.source_regained()
     view.expire_held()
@@ -288,8 +288,8 @@
 
 def test_draining_replica_gets_no_new_requests():
     view, clock = make_view()
-    view.take_snapshot(source.Snapshot((replica("a", 1), replica("b", 1)), 1))
-    view.take_changes(source.Changes((replica("a", 2, draining=True),), 2))
+    view.apply_snapshot(source.Snapshot((replica("a", 1), replica("b", 1)), 1))
+    view.apply_changes(source.Changes((replica("a", 2, draining=True),), 2))
     route = routes.Route("r", "h", "/", True, 1000, 100, 1, 2)
     assert view.replicas.choose("s", route, (), clock.now_s).entry.instance == "b"
 
@@ -311,13 +311,13 @@
     gets its requests on dead connections, and counts as draining although it serves.
     """
     view, clock = make_view()
-    view.take_snapshot(source.Snapshot((replica("a", 1, draining, born_ms=1000),), 1))
+    view.apply_snapshot(source.Snapshot((replica("a", 1, draining, born_ms=1000),), 1))
     former = set_learnt_state(view, "a")
     again = replica("a", 2, born_ms=2500)
     if way == "change":
-        view.take_changes(source.Changes((again,), 2))
+        view.apply_changes(source.Changes((again,), 2))
     else:
-        view.take_snapshot(source.Snapshot((again,), 2))
+        view.apply_snapshot(source.Snapshot((again,), 2))
     (known,) = view.replicas.all()
     assert known is not former
     assert (known.pace, known.trouble, known.failures, known.ejections) == (1.0, 0.0, 0, 0)
@@ -327,9 +327,9 @@
 
 def test_older_start_is_recognised_after_an_unreadable_entry():
     view, _ = make_view()
-    view.take_snapshot(source.Snapshot((replica("a", 3, born_ms=2500),), 3))
+    view.apply_snapshot(source.Snapshot((replica("a", 3, born_ms=2500),), 3))
     older = replica("a", 5, born_ms=1000)
-    view.take_changes(source.Changes((unreadable("r/a", 4), older), 5))
+    view.apply_changes(source.Changes((unreadable("r/a", 4), older), 5))
     assert not view.replicas.instances()
 
 
@@ -340,13 +340,13 @@
     got no answer and takes effect seconds later, after the first write of its next start.
     """
     view, clock = make_view()
-    view.take_snapshot(source.Snapshot((replica("a", 3, born_ms=2500, port=2),), 3))
+    view.apply_snapshot(source.Snapshot((replica("a", 3, born_ms=2500, port=2),), 3))
     if gone:
-        view.take_changes(source.Changes((source.Removed("r/a", 4),), 4))
+        view.apply_changes(source.Changes((source.Removed("r/a", 4),), 4))
         assert not view.replicas.instances()
-    view.take_changes(source.Changes((replica("a", 5, born_ms=1000),), 5))
+    view.apply_changes(source.Changes((replica("a", 5, born_ms=1000),), 5))
     assert [each.entry.port for each in view.replicas.all()] == ([] if gone else [2])
-    view.take_changes(source.Changes((replica("a", 6, draining=True, born_ms=2500, port=2),), 6))
+    view.apply_changes(source.Changes((replica("a", 6, draining=True, born_ms=2500, port=2),), 6))
     (known,) = view.replicas.all()
     assert known.leaving
     assert known.entry.port == 2
@@ -357,9 +357,9 @@
     view, _ = make_view()
     for number in range(9):
         name, revision = f"i{number}", 10 * number
-        view.take_changes(source.Changes((replica(name, revision + 1, born_ms=5),), revision + 1))
+        view.apply_changes(source.Changes((replica(name, revision + 1, born_ms=5),), revision + 1))
         gone = source.Removed(f"r/{name}", revision + 2)
-        view.take_changes(source.Changes((gone,), revision + 2))
+        view.apply_changes(source.Changes((gone,), revision + 2))
     assert list(view._born_ms) == ["r/i6", "r/i7", "r/i8"]
 
 
@@ -370,37 +370,37 @@
     replicas are used as before.
     """
     view, _ = make_view()
-    view.take_snapshot(source.Snapshot((replica("a", 1), replica("b", 2)), 2))
-    view.take_changes(source.Changes((unreadable("r/a", 3),), 3))
+    view.apply_snapshot(source.Snapshot((replica("a", 1), replica("b", 2)), 2))
+    view.apply_changes(source.Changes((unreadable("r/a", 3),), 3))
     assert view.replicas.instances() == {"b"}
-    view.take_changes(source.Changes((replica("a", 2), unreadable("r/c", 4)), 4))
+    view.apply_changes(source.Changes((replica("a", 2), unreadable("r/c", 4)), 4))
     assert view.replicas.instances() == {"b"}, "an earlier entry must not restore the replica"
-    view.take_changes(source.Changes((replica("a", 5), replica("c", 6)), 6))
+    view.apply_changes(source.Changes((replica("a", 5), replica("c", 6)), 6))
     assert view.replicas.instances() == {"a", "b", "c"}
 
 
 def test_removed_unreadable_entry_leaves_no_trace():
     view, _ = make_view()
-    view.take_snapshot(source.Snapshot((unreadable("r/a", 1), replica("b", 2)), 2))
-    view.take_changes(source.Changes((source.Removed("r/a", 3),), 3))
-    view.take_snapshot(source.Snapshot((replica("a", 2), replica("b", 2)), 4))
+    view.apply_snapshot(source.Snapshot((unreadable("r/a", 1), replica("b", 2)), 2))
+    view.apply_changes(source.Changes((source.Removed("r/a", 3),), 3))
+    view.apply_snapshot(source.Snapshot((replica("a", 2), replica("b", 2)), 4))
     assert view.replicas.instances() == {"a", "b"}
 
 
 def test_unreadable_configuration_keeps_the_last_in_force():
     view, _ = make_view()
-    view.take_snapshot(source.Snapshot((configured(4, 1),), 1))
-    view.take_changes(source.Changes((unreadable("config", 2),), 2))
+    view.apply_snapshot(source.Snapshot((configured(4, 1),), 1))
+    view.apply_changes(source.Changes((unreadable("config", 2),), 2))
     assert view.configuration.version == 4
-    view.take_changes(source.Changes((configured(5, 3),), 3))
+    view.apply_changes(source.Changes((configured(5, 3),), 3))
     assert view.configuration.version == 5
 
 
 def test_instances_with_unreadable_entries():
     """Callers are no longer given another instance's address; the own entry is written again."""
     view, _ = make_view()
-    view.take_snapshot(source.Snapshot((instance("own", 1), instance("x", 1)), 1))
-    view.take_changes(source.Changes((unreadable("e/own", 2), unreadable("e/x", 3)), 3))
+    view.apply_snapshot(source.Snapshot((instance("own", 1), instance("x", 1)), 1))
+    view.apply_changes(source.Changes((unreadable("e/own", 2), unreadable("e/x", 3)), 3))
     assert view.own_entry_removed
     assert set(view.instances) == {"own"}
 
@@ -411,8 +411,8 @@
     its lease, and the instance did not notice the removal of its entry.
     """
     view, _ = make_view()
-    view.take_snapshot(source.Snapshot((instance("own", 1), instance("x", 1)), 1))
-    view.take_changes(source.Changes((source.Removed("e/own", 2), source.Removed("e/x", 3)), 3))
+    view.apply_snapshot(source.Snapshot((instance("own", 1), instance("x", 1)), 1))
+    view.apply_changes(source.Changes((source.Removed("e/own", 2), source.Removed("e/x", 3)), 3))
     assert view.own_entry_removed
     assert set(view.instances) == {"own"}
 
@@ -424,10 +424,12 @@
     still run. If they stop counting at once, the others take over their share of the budget, while
     the removed instances continue to use it.
     """
-    view.take_snapshot(source.Snapshot(tuple(instance(f"x{n}", 1) for n in range(7)), 1))
+    view.apply_snapshot(source.Snapshot(tuple(instance(f"x{n}", 1) for n in range(7)), 1))
     clock.now_s += 60
     for number in range(5):
-        view.take_changes(source.Changes((source.Removed(f"e/x{number}", 2 + number),), 2 + number))
+        view.apply_changes(
+            source.Changes((source.Removed(f"e/x{number}", 2 + number),), 2 + number)
+        )
     assert (len(view.instances), view.instances_count()) == (2, 7)
     clock.now_s += view_module.INSTANCE_COUNT_WINDOW_S + 1
     assert view.instances_count() == 2
@@ -554,7 +556,7 @@
         if self.synced:
             self.view.source_regained()
             changes = source.Changes(tuple(self.pending), self.revision, era=self.era)
-            self.view.take_changes(changes)
+            self.view.apply_changes(changes)
             self._learn(self.pending)
             self.pending = []
 
@@ -567,7 +569,7 @@
     def read_snapshot(self):
         self.view.source_regained()
         written = tuple(self.content.values())
-        self.view.take_snapshot(source.Snapshot(written, self.revision, self.era))
+        self.view.apply_snapshot(source.Snapshot(written, self.revision, self.era))
         self._learn(written)
         self.pending, self.synced = [], True
 
