--- a/src/turmericlug/entry/relay.py
+++ b/src/turmericlug/entry/relay.py
@@ -1,11 +1,12 @@
 """
-Passing news on between the instances of a data centre.
-
-The load pattern: instances that each follow the store make one call each for every change. So one
-instance of a data centre asks the store, and the others ask that one. A second one stands by: it
-asks the first like all others, and the store when that fails, and whoever can't use the first asks
-it. What either says carries the age of the news: an instance that gets none young enough asks the
-store itself within 1.9 s. The shortest time in which a configuration has to be in force is 3 s.
+Relay changes between the instances of a data centre.
+
+If every instance watched the source itself, each change would cost one call per instance. Instead,
+one instance of a data centre, the first relay, requests changes from the source, and the others
+request them from it. The second relay is a standby: it uses the first one like all others, turns to
+the source if that fails, and serves the instances that cannot use the first. Each reply carries its
+age: an instance that gets no recent enough reply asks the source itself within 1.9 s. The shortest
+time within which a configuration has to be in force is 3 s.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 from turmericlug.direct import replica as replica_module
 from turmericlug.direct import replicas as replicas_module
 from turmericlug.entry import journal as journal_module
-from turmericlug.entry import news
-from turmericlug.entry import news_codec
+from turmericlug.entry import relay_codec
+from turmericlug.entry import source as source_module
 from turmericlug.http1 import client
 from turmericlug.http1 import messages
 from turmericlug.policy import liveness as liveness_module
@@ -29,23 +30,26 @@
 from turmericlug.telemetry import decisions
 
 PATH = b"/news/"
-"""``/news/ERA.REVISION/WAIT_MS/NAME``: what has changed since, asked by the instance named."""
+"""``/news/ERA.REVISION/WAIT_MS/NAME``: requests the changes since a position; NAME is the
+requesting instance."""
 WAIT_S = 1.0
-"""A relay that died is found out after it and the slack, well within 4 s."""
-SLACK_S = 0.4
-STALE_S = 1.6
-"""A relay hears from the source each second at the latest, by renewing its lease; a slow answer
-more is too long."""
-RELAYS = 2
-"""With one alone, its end sent all others of its data centre to the source."""
-PASSED_OVER_S = 4.0
-"""Time for which a relay is not asked that failed twice in a row: its entry is gone by then."""
-FAILURES_TO_PASS_OVER = 2
-"""One failure may be that of a connection that went silent; the next question opens another."""
-AGAIN_FIRST_S = 0.5
-AGAIN_MOST_S = 2.0
-"""Pause of an instance between two questions to a source that did not answer it. Its relays ask
-more often, and tell at once when the source is back."""
+"""How long a relay waits for changes before it replies. A failed relay is detected after this time
+and the slack, well within 4 s."""
+TIMEOUT_SLACK_S = 0.4
+"""Time for the reply of a relay on top of the wait."""
+MAX_AGE_S = 1.6
+"""Replies older than this are rejected. A relay gets an answer from the source at least every
+second, as it renews its lease; the limit allows for one slow answer on top."""
+RELAY_COUNT = 2
+"""With a single relay, its failure sent all other instances of its data centre to the source."""
+SKIP_S = 4.0
+"""How long a relay is skipped after two failures in a row; by then its entry is removed."""
+FAILURES_TO_SKIP = 2
+"""A single failure may be due to a silent connection; the next request opens a new one."""
+BACKOFF_MIN_S = 0.5
+BACKOFF_MAX_S = 2.0
+"""Bounds of the delay, doubled after each failure, before an instance that has relays asks an
+unresponsive source again. The relays ask more often, and report at once when it is reachable."""
 
 
 def handler(
@@ -53,105 +57,105 @@
     source_age_s: abc.Callable[[], float],
     attendance: liveness_module.PeerLiveness,
 ) -> messages.Handler:
-    """Return the handler of questions for news."""
+    """Return the handler of requests for changes."""
 
     async def handle(request: messages.Request) -> messages.Answer:
-        place, _, rest = request.target.removeprefix(PATH).partition(b"/")
+        position, _, rest = request.target.removeprefix(PATH).partition(b"/")
         wait_ms, _, name = rest.partition(b"/")
-        after = _position(place)
+        after = _position(position)
         if not (after and wait_ms.isdigit() and name):
             return messages.Answer(404)
         attendance.record_contact(name.decode("latin-1"), asyncio.get_running_loop().time())
         try:
-            # Told as soon as they are too old: an instance that waited a second first, with news
-            # that were a little younger than the limit, asked the source itself 3 s after the relay
-            # lost it, when a configuration should have been in force.
-            fresh_s = max(STALE_S - source_age_s(), 0.0)
+            # Reply as soon as the age limit is reached: an instance that waited a full second for a
+            # relay just below the limit asked the source only 3 s after the relay had lost it, when
+            # a configuration should already have been in force.
+            fresh_s = max(MAX_AGE_S - source_age_s(), 0.0)
             wait_s = min(WAIT_S, int(wait_ms) / 1000, fresh_s)
             changes = await journal.since(after, wait_s)
-        except news.HistoryLostError:
+        except source_module.HistoryLostError:
             changes = None
-        return messages.Answer(200, body=news_codec.encode(changes, source_age_s()))
+        return messages.Answer(200, body=relay_codec.encode(changes, source_age_s()))
 
     return handle
 
 
-def _position(text: bytes) -> news.Position | None:
+def _position(text: bytes) -> source_module.Position | None:
     era, _, revision = text.partition(b".")
     if not (era.isdigit() and revision.isdigit()):
         return None
-    return news.Position(int(era), int(revision))
+    return source_module.Position(int(era), int(revision))
 
 
 @attrs.define
 class _Failures:
-    """How a relay has failed of late."""
+    """Recent failures of a relay."""
 
     in_a_row: int = 0
     until_s: float = 0.0
-    """Until when it is not asked."""
+    """The time until which the relay is skipped."""
 
 
 @attrs.define
 class RelayedSource:
-    """A source that asks another instance for changes, where one does that for all."""
+    """A source whose changes are requested from a relay where there is one."""
 
-    source: news.Source
-    decode: news_codec.Decode
+    source: source_module.Source
+    decode: relay_codec.Decode
     place: placement.Place
     peers: replicas_module.Replicas
     counters: counters_module.Counters
     attendance: liveness_module.PeerLiveness
     rng: random.Random = attrs.field(factory=random.Random)
     _failures: dict[str, _Failures] = attrs.field(factory=dict)
-    _direct_from_s: float = 0.0
-    """From when the source may be asked directly again."""
-    _direct_failures: int = 0
-    _follows_directly: bool = True
+    _source_retry_at_s: float = 0.0
+    """The time from which the source may be asked again."""
+    _source_failures: int = 0
+    _uses_source: bool = True
 
-    async def changes(self, after: news.Position, wait_s: float) -> news.Changes:
+    async def changes(self, after: source_module.Position, wait_s: float) -> source_module.Changes:
         """
-        Wait for changes, from a relay or the source.
+        Wait for changes, from a relay or from the source.
 
-        :raises HistoryLostError: the changes since then are not known any more
-        :raises SourceError: no answer
+        :raises HistoryLostError: some changes since the position are no longer available
+        :raises SourceError: the source gave no usable answer
         """
         relays = self.relays()
         relay_wait_s = WAIT_S
         for relay in relays:
-            if self._is_passed_over(relay):
+            if self._is_skipped(relay):
                 continue
-            told = await self._told(relay, after, relay_wait_s)
-            if told is None:
-                # The wait for the next one would add to that for this one.
+            reply = await self._ask_relay(relay, after, relay_wait_s)
+            if reply is None:
+                # A wait at the next relay would add to the time spent on this one.
                 relay_wait_s = 0.0
                 continue
-            if told.lost:
-                # Only the source may know what came before the relay was started.
+            if reply.lost:
+                # Only the source may know the changes from before the relay started.
                 break
-            if told.changes.age_s < STALE_S and told.changes.era >= after.era:
+            if reply.changes.age_s < MAX_AGE_S and reply.changes.era >= after.era:
                 self.counters.add("relay.answered")
-                self._direct_failures = 0
-                self._follows_directly = False
-                return told.changes
+                self._source_failures = 0
+                self._uses_source = False
+                return reply.changes
             self.counters.add("relay.stale")
-        return await self._direct(after, wait_s, has_relays=bool(relays))
+        return await self._ask_source(after, wait_s, has_relays=bool(relays))
 
     def relays(self) -> list[replica_module.Replica]:
-        """Return the instances to ask, the first of them first; none where this is the first."""
+        """Return the relays to ask, in order; none if this instance is the first relay."""
         names = self._relay_names()
         if names[0] == self.place.name:
             return []
         peers = {each.entry.instance: each for each in self.peers.of(self.place.data_centre)}
         return [peers[name] for name in names if name in peers]
 
-    def missed(self, now_s: float) -> list[str]:
+    def silent_instances(self, now_s: float) -> list[str]:
         """
-        Return the instances that this one should hear from and does not.
+        Return the instances that this one should have heard from recently and has not.
 
-        The first relay hears from all others, the second one from the first alone. That is missed
-        only when others have turned to the second one as well, if there are any: else it is the way
-        between the two that is cut.
+        The first relay hears from all others; the second relay only checks the first. If there are
+        other instances, the first relay counts as silent only when some of them have turned to the
+        second one as well; otherwise only the connection between the two relays is broken.
         """
         names = self._relay_names()
         others = [each.entry.instance for each in self.peers.of(self.place.data_centre)]
@@ -163,63 +167,65 @@
             return []
         return self.attendance.find_missing(names[:1], now_s)
 
-    def tells_others(self) -> bool:
-        """Whether others rely on how lately this instance has heard from the source."""
-        return self._follows_directly and self.place.name in self._relay_names()
+    def serves_peers(self) -> bool:
+        """Whether this instance is a relay that requests its changes from the source."""
+        return self._uses_source and self.place.name in self._relay_names()
 
     def _relay_names(self) -> list[str]:
         peers = self.peers.of(self.place.data_centre)
         names = [self.place.name, *(each.entry.instance for each in peers)]
-        return placement.preferred("news", names, RELAYS)
+        return placement.preferred("news", names, RELAY_COUNT)
 
-    async def _direct(self, after: news.Position, wait_s: float, has_relays: bool) -> news.Changes:
-        """Ask the source; not at once again when it has failed and relays ask it as well."""
+    async def _ask_source(
+        self, after: source_module.Position, wait_s: float, has_relays: bool
+    ) -> source_module.Changes:
+        """Ask the source; after a failure only with a delay if relays ask it as well."""
         now_s = asyncio.get_running_loop().time()
-        self._follows_directly = True
-        if has_relays and now_s < self._direct_from_s:
-            raise news.SourceError("asked_lately")
+        self._uses_source = True
+        if has_relays and now_s < self._source_retry_at_s:
+            raise source_module.SourceError("asked_lately")
         try:
             changes = await self.source.changes(after, wait_s)
-        except news.SourceError:
-            pause_s = min(AGAIN_FIRST_S * 2**self._direct_failures, AGAIN_MOST_S)
-            self._direct_failures += 1
+        except source_module.SourceError:
+            pause_s = min(BACKOFF_MIN_S * 2**self._source_failures, BACKOFF_MAX_S)
+            self._source_failures += 1
             now_s = asyncio.get_running_loop().time()
-            self._direct_from_s = now_s + pause_s * self.rng.uniform(0.75, 1.25)
+            self._source_retry_at_s = now_s + pause_s * self.rng.uniform(0.75, 1.25)
             raise
-        self._direct_failures = 0
+        self._source_failures = 0
         return changes
 
-    def _is_passed_over(self, relay: replica_module.Replica) -> bool:
+    def _is_skipped(self, relay: replica_module.Replica) -> bool:
         failures = self._failures.get(relay.entry.instance)
         return failures is not None and asyncio.get_running_loop().time() < failures.until_s
 
-    async def _told(
-        self, relay: replica_module.Replica, after: news.Position, wait_s: float
-    ) -> news_codec.Told | None:
-        """Ask a relay; ``None`` when it gives no answer."""
+    async def _ask_relay(
+        self, relay: replica_module.Replica, after: source_module.Position, wait_s: float
+    ) -> relay_codec.Reply | None:
+        """Ask a relay; ``None`` if it gives no usable reply."""
         name = self.place.name.encode()
         target = b"%s%d.%d/%d/%s" % (PATH, after.era, after.revision, wait_s * 1000, name)
         request = client.request_bytes(b"GET", target, [(b"host", b"instance")], b"")
         try:
-            async with asyncio.timeout(wait_s + SLACK_S):
+            async with asyncio.timeout(wait_s + TIMEOUT_SLACK_S):
                 async with relay.pool.connection(0) as connection:
                     response = await connection.exchange(request)
             if response.status != 200:
-                return self._failed(relay, f"status_{response.status}")
-            told = news_codec.decode(response.body, self.decode)
-        except (client.ConnectError, client.ExchangeError, news_codec.MessageError) as error:
-            return self._failed(relay, str(error))
+                return self._record_failure(relay, f"status_{response.status}")
+            reply = relay_codec.decode(response.body, self.decode)
+        except (client.ConnectError, client.ExchangeError, relay_codec.MessageError) as error:
+            return self._record_failure(relay, str(error))
         except TimeoutError:
-            return self._failed(relay, "silent")
+            return self._record_failure(relay, "silent")
         self._failures.pop(relay.entry.instance, None)
         self.attendance.record_contact(relay.entry.instance, asyncio.get_running_loop().time())
-        return told
+        return reply
 
-    def _failed(self, relay: replica_module.Replica, reason: str) -> None:
+    def _record_failure(self, relay: replica_module.Replica, reason: str) -> None:
         name = relay.entry.instance
         failures = self._failures.setdefault(name, _Failures())
         failures.in_a_row += 1
-        if failures.in_a_row >= FAILURES_TO_PASS_OVER:
-            failures.until_s = asyncio.get_running_loop().time() + PASSED_OVER_S
+        if failures.in_a_row >= FAILURES_TO_SKIP:
+            failures.until_s = asyncio.get_running_loop().time() + SKIP_S
         self.counters.add("relay.failed")
         decisions.log("relay.failed", relay=name, reason=reason[:100], in_a_row=failures.in_a_row)
--- /dev/null
+++ b/src/turmericlug/entry/relay_codec.py
@@ -0,0 +1,130 @@
+"""The messages by which instances relay changes: Cap'n Proto, with large values compressed."""
+
+from __future__ import annotations
+
+import functools
+import pathlib
+import zlib
+from collections import abc
+
+import attrs
+import capnp
+
+from turmericlug.entry import source
+
+_SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("relay.capnp")))
+COMPRESSION_THRESHOLD_BYTES = 1000
+"""Compressing less than a packet gains nothing; entries of replicas are some 200 bytes."""
+MAX_CONTENT_BYTES = 8 * 1024 * 1024
+"""Eight times the largest value that the source holds under one key."""
+_MAX_AGE_S = 3600.0
+"""Reported as the age if the source has never answered: far beyond what any instance accepts."""
+
+Decode = abc.Callable[[str, bytes, int], source.Written | source.Unreadable | None]
+"""Decodes the new content of a key, given its revision."""
+
+
+class MessageError(Exception):
+    """The message is damaged or of another type."""
+
+
+@attrs.frozen
+class Reply:
+    """The reply of a relay."""
+
+    changes: source.Changes
+    lost: bool
+    """Whether the relay does not know all changes since the requested position."""
+
+
+def encode(changes: source.Changes | None, age_s: float) -> bytes:
+    """
+    Encode changes as a message.
+
+    :param changes: ``None`` if not all of them are known
+    :param age_s: time since the source last answered the sender
+    """
+    message = _SCHEMA.News.new_message()
+    if changes is None:
+        message.lost = True
+    else:
+        message.revision = changes.revision
+        message.era = changes.era
+        message.changes = [_encode_change(change) for change in changes.changes]
+    message.sourceAgeMs = int(min(age_s, _MAX_AGE_S) * 1000)
+    return message.to_bytes_packed()
+
+
+def _encode_change(change: source.Change) -> dict[str, object]:
+    if isinstance(change, source.Removed):
+        return {
+            "key": change.key,
+            "revision": change.revision,
+            "era": change.era,
+            "removed": True,
+        }
+    smaller = _compress(change.content)
+    compressed = len(smaller) < len(change.content)
+    return {
+        "key": change.key,
+        "revision": change.revision,
+        "era": change.era,
+        "content": smaller if compressed else change.content,
+        "compressed": compressed,
+        "lease": change.lease if isinstance(change, source.Written) else 0,
+    }
+
+
+@functools.lru_cache(maxsize=16)
+def _compress(content: bytes) -> bytes:
+    """
+    Compress a value once for all instances that request it.
+
+    A configuration of 90 shards is tens of kilobytes. Sent uncompressed to fourteen instances, it
+    kept a relay's link of 7 Mbit/s busy for some hundred milliseconds, during which the relay's own
+    batches got no answers and were all treated as lost.
+    """
+    return zlib.compress(content, 1) if len(content) > COMPRESSION_THRESHOLD_BYTES else content
+
+
+def decode(content: bytes, decode_value: Decode) -> Reply:
+    """
+    Decode a message.
+
+    :raises MessageError: the message is damaged
+    """
+    try:
+        message = _SCHEMA.News.from_bytes_packed(content)
+        found = [_decode_change(each, decode_value) for each in message.changes]
+        changes = tuple(each for each in found if each is not None)
+        age_s = message.sourceAgeMs / 1000
+        reported = source.Changes(changes, message.revision, age_s, message.era)
+        return Reply(reported, message.lost)
+    except Exception as error:  # the library raises a different type for each kind of damage
+        raise MessageError(str(error)[:100]) from error
+
+
+def _decode_change(
+    change: capnp.lib.capnp._DynamicStructReader, decode_value: Decode
+) -> source.Change | None:
+    if change.removed:
+        return source.Removed(change.key, change.revision, change.era)
+    content = decompress_value(change.content) if change.compressed else bytes(change.content)
+    found = decode_value(change.key, content, change.revision)
+    if isinstance(found, source.Written):
+        return attrs.evolve(found, era=change.era, lease=change.lease)
+    return found and attrs.evolve(found, era=change.era)
+
+
+def decompress_value(content: bytes) -> bytes:
+    """
+    Decompress a value.
+
+    :raises ValueError: the value is truncated or too large
+    :raises zlib.error: the value is damaged
+    """
+    decompressor = zlib.decompressobj()
+    plain = decompressor.decompress(content, MAX_CONTENT_BYTES)
+    if not decompressor.eof:
+        raise ValueError("compressed value is truncated or exceeds MAX_CONTENT_BYTES")
+    return plain
--- a/tests/entry/test_follower.py
+++ b/tests/entry/test_follower.py
@@ -1,4 +1,4 @@
-"""Following the source through its faults, and staying registered there."""
+"""Watching the source through its faults, and staying registered in it."""
 
 from __future__ import annotations
 
@@ -17,28 +17,32 @@
 from turmericlug.direct import routes
 from turmericlug.entry import follower
 from turmericlug.entry import journal as journal_module
-from turmericlug.entry import news
+from turmericlug.entry import source as source_module
 from turmericlug.entry import view as view_module
 from turmericlug.http1 import messages
 from turmericlug.telemetry import counters
 
-OWN = news.EntryInstance("own", "10.0.0.1:80", "dc", "r")
+OWN = source_module.EntryInstance("own", "10.0.0.1:80", "dc", "r")
 
 
 def configured(version):
     configuration = routes.Configuration(version, (), {}, messages.Limits())
-    return news.Written("config", configuration, version)
+    return source_module.Written("config", configuration, version)
 
 
 class Source:
-    """Plays steps for each reading and each question; the last one for ever."""
+    """
+    Plays scripted steps for each kind of call.
+
+    Without a step left, a registration succeeds and any other call blocks.
+    """
 
     era = 0
 
-    def __init__(self, readings=(), questions=(), keeps=(), registrations=()):
+    def __init__(self, snapshots=(), replies=(), keeps=(), registrations=()):
         self.steps = {
-            "read": list(readings),
-            "changes": list(questions),
+            "read": list(snapshots),
+            "changes": list(replies),
             "keep": list(keeps),
             "register": list(registrations),
         }
@@ -93,15 +97,15 @@
 
 @pytest.fixture(autouse=True)
 def no_pauses(monkeypatch):
-    monkeypatch.setattr(follower, "RETRY_LEAST_S", 0.0)
-    monkeypatch.setattr(follower, "PAUSE_S", 0.0)
-    monkeypatch.setattr(follower, "RETRY_MOST_S", 0.0)
-    monkeypatch.setattr(follower, "KEEP_EVERY_S", 0.001)
-    monkeypatch.setattr(follower, "KEEP_AGAIN_S", 0.001)
+    monkeypatch.setattr(follower, "RETRY_MIN_S", 0.0)
+    monkeypatch.setattr(follower, "CHANGES_INTERVAL_S", 0.0)
+    monkeypatch.setattr(follower, "RETRY_MAX_S", 0.0)
+    monkeypatch.setattr(follower, "RENEWAL_INTERVAL_S", 0.001)
+    monkeypatch.setattr(follower, "RENEWAL_RETRY_S", 0.001)
 
 
-def stay_registered(source, view, may_serve=lambda: True, tells_others=lambda: False):
-    return follower.stay_registered(source, view, OWN, may_serve, tells_others, random.Random(1))
+def stay_registered(source, view, may_serve=lambda: True, serves_peers=lambda: False):
+    return follower.stay_registered(source, view, OWN, may_serve, serves_peers, random.Random(1))
 
 
 async def while_running(work, until):
@@ -115,30 +119,30 @@
 
 
 @pytest.mark.parametrize(
-    ("readings", "questions", "version", "asked_after"),
+    ("snapshots", "replies", "version", "asked_after"),
     [
         ([4], [], 4, [4]),
         ([4], [5, 7], 7, [4, 5, 7]),
-        ([news.SourceError("busy"), 4], [], 4, [4]),
-        ([4], [news.SourceError("timeout"), 6], 6, [4, 4, 6]),
-        ([4, 9], [news.HistoryLostError(), 10], 10, [4, 9, 10]),
-        ([4, news.SourceError("busy"), 3], [news.HistoryLostError()], 4, [4, 3]),
+        ([source_module.SourceError("busy"), 4], [], 4, [4]),
+        ([4], [source_module.SourceError("timeout"), 6], 6, [4, 4, 6]),
+        ([4, 9], [source_module.HistoryLostError(), 10], 10, [4, 9, 10]),
+        ([4, source_module.SourceError("busy"), 3], [source_module.HistoryLostError()], 4, [4, 3]),
     ],
-    ids=["read", "changes", "busy at first", "cut", "history lost", "stale reading"],
+    ids=["read", "changes", "busy at first", "connection cut", "history lost", "stale snapshot"],
 )
-def test_following(readings, questions, version, asked_after):
+def test_follow_recovers_from_source_faults(snapshots, replies, version, asked_after):
     """
-    The store is away, drops its history or answers from the past, in any order.
-    Callers must see each new configuration, and none go back.
+    Guards against a view that misses a configuration or reverts to an older one when the store is
+    unreachable, drops its history or answers with a stale snapshot, in any order.
     """
     source = Source(
         [
-            news.Snapshot((configured(each),), each) if isinstance(each, int) else each
-            for each in readings
+            source_module.Snapshot((configured(each),), each) if isinstance(each, int) else each
+            for each in snapshots
         ],
         [
-            news.Changes((configured(each),), each) if isinstance(each, int) else each
-            for each in questions
+            source_module.Changes((configured(each),), each) if isinstance(each, int) else each
+            for each in replies
         ],
     )
     view = make_view()
@@ -157,8 +161,8 @@
     asyncio.run(main())
     assert view.configuration.version == version
     assert source.asked_after == asked_after
-    # Only while nothing is known yet: a later stale reading would take replicas for gone.
-    known = [isinstance(each, int) for each in readings]
+    # Only while nothing is known yet: with a later stale snapshot, replicas would count as removed.
+    known = [isinstance(each, int) for each in snapshots]
     assert source.stale_allowed == [not any(known[:n]) for n in range(len(source.stale_allowed))]
 
 
@@ -166,16 +170,16 @@
     ("keeps", "registered"),
     [
         ([1], [1]),
-        ([1, news.LeaseEndedError(), 1], [1, 2]),
-        ([news.SourceError("timeout"), 1], [1]),
-        ([news.SourceError("busy"), news.LeaseEndedError(), 1], [1, 2]),
+        ([1, source_module.LeaseEndedError(), 1], [1, 2]),
+        ([source_module.SourceError("timeout"), 1], [1]),
+        ([source_module.SourceError("busy"), source_module.LeaseEndedError(), 1], [1, 2]),
     ],
-    ids=["kept", "ended", "no answer", "ended while away"],
+    ids=["kept", "ended", "no answer", "ended while unreachable"],
 )
-def test_staying_registered(keeps, registered):
+def test_stay_registered_recovers_from_lease_faults(keeps, registered):
     """
-    The lease of an instance ends although the instance runs on, as the store was away for longer.
-    Not registered again, it serves nobody for the rest of its life.
+    Guards against an instance that gets no requests until it is restarted: its lease expires while
+    the store is unreachable, although the instance keeps running, and it does not register again.
     """
     source, view = Source(keeps=keeps), make_view()
 
@@ -189,16 +193,18 @@
 
 
 def own_entry(instance=OWN, lease=7):
-    return news.Written("own", instance, 3, lease=lease)
+    return source_module.Written("own", instance, 3, lease=lease)
 
 
 @pytest.mark.parametrize("failures", [1, 3])
-def test_an_entry_that_could_not_be_written_is_written_later(failures):
+def test_failed_registration_is_retried(failures):
     """
-    The store opens a lease for an instance that has just started and refuses its next call. The
-    instance renewed the lease for the rest of its life: ready, and told to no caller.
+    Guards against a ready instance that no caller is told of: the store opened its lease at the
+    start and refused the next call, and the instance kept renewing the lease without an entry.
     """
-    source = Source(keeps=[1, 1], registrations=[news.SourceError("busy")] * failures + [1])
+    source = Source(
+        keeps=[1, 1], registrations=[source_module.SourceError("busy")] * failures + [1]
+    )
 
     async def main():
         work = stay_registered(source, make_view())
@@ -213,19 +219,20 @@
     ("entry", "keeps", "kept", "registered"),
     [
         (own_entry(), [1, 1], [7, 7], []),
-        (own_entry(), [news.LeaseEndedError(), 1], [7, 1], [1]),
+        (own_entry(), [source_module.LeaseEndedError(), 1], [7, 1], [1]),
         (own_entry(lease=0), [1], [1], [1]),
-        (own_entry(news.EntryInstance("own", "10.0.0.2:80", "dc", "r")), [1], [1], [1]),
+        (own_entry(source_module.EntryInstance("own", "10.0.0.2:80", "dc", "r")), [1], [1], [1]),
     ],
-    ids=["stands", "lapsed", "lease not known", "at another address"],
+    ids=["valid", "expired", "lease not known", "at another address"],
 )
-def test_an_entry_that_has_outlived_the_start_is_taken_over(entry, keeps, kept, registered):
+def test_entry_of_previous_run_is_adopted(entry, keeps, kept, registered):
     """
-    All instances lose power for two seconds. Each opens a lease and writes its entry anew, two
-    calls each within a second, although what they wrote before still stands.
+    Guards against a burst of calls to the store after a power failure of two seconds: each instance
+    opened a lease and wrote its entry, two calls each within a second, although its former entry
+    and lease were still valid.
     """
     source, view = Source(keeps=keeps), make_view()
-    view.take_snapshot(news.Snapshot((entry,), 3))
+    view.apply_snapshot(source_module.Snapshot((entry,), 3))
 
     async def main():
         await while_running(stay_registered(source, view), lambda: not source.steps["keep"])
@@ -236,28 +243,29 @@
 
 
 @pytest.mark.parametrize(
-    ("tells_others", "answers", "pause_s"),
+    ("serves_peers", "answers", "pause_s"),
     [
-        (False, True, follower.KEEP_EVERY_S),
-        (True, True, follower.KEEP_OFTEN_S),
-        (False, False, follower.KEEP_AGAIN_S),
-        (True, False, follower.KEEP_OFTEN_S),
+        (False, True, follower.RENEWAL_INTERVAL_S),
+        (True, True, follower.RELAY_RENEWAL_INTERVAL_S),
+        (False, False, follower.RENEWAL_RETRY_S),
+        (True, False, follower.RELAY_RENEWAL_INTERVAL_S),
     ],
 )
-def test_how_often_a_lease_is_renewed(tells_others, answers, pause_s, monkeypatch):
+def test_lease_renewal_interval(serves_peers, answers, pause_s, monkeypatch):
     """
-    Each renewal is a call. Only what a relay tells is as old as its own last word with the store.
+    Each renewal costs the store a call. Only a relay needs frequent ones, as the age of its replies
+    counts from its last answer from the store.
     """
     monkeypatch.undo()
     source, now_s = Source(), [0.0]
-    tried_s = []
+    attempted_s = []
 
     async def keep(lease):
-        tried_s.append(now_s[0])
-        if len(tried_s) == 4:
+        attempted_s.append(now_s[0])
+        if len(attempted_s) == 4:
             raise asyncio.CancelledError
         if not answers:
-            raise news.SourceError("busy")
+            raise source_module.SourceError("busy")
 
     async def sleep(duration_s):
         now_s[0] += duration_s
@@ -267,14 +275,14 @@
         monkeypatch.setattr(asyncio.get_running_loop(), "time", lambda: now_s[0], raising=False)
         monkeypatch.setattr(follower.asyncio, "sleep", sleep)
         with pytest.raises(asyncio.CancelledError):
-            await stay_registered(source, make_view(), tells_others=lambda: tells_others)
+            await stay_registered(source, make_view(), serves_peers=lambda: serves_peers)
 
     asyncio.run(main())
-    pauses_s = [after - before for before, after in itertools.pairwise(tried_s)]
+    pauses_s = [after - before for before, after in itertools.pairwise(attempted_s)]
     assert all(0.8 * pause_s <= each <= 1.2 * pause_s + 0.001 for each in pauses_s)
 
 
-def test_an_entry_removed_from_outside_is_written_again():
+def test_entry_removed_by_others_is_written_again():
     source, view = Source(keeps=[1] * 50), make_view()
 
     async def main():
@@ -288,7 +296,7 @@
     asyncio.run(main())
 
 
-def test_not_registered_before_it_may_serve():
+def test_not_registered_before_ready_to_serve():
     source, view, ready = Source(keeps=[1]), make_view(), []
 
     async def main():
@@ -312,14 +320,12 @@
         (own_entry(lease=9), [1, 2], [1, 2]),
         (None, [1, 2], [1, 2]),
     ],
-    ids=["entry stands", "under another lease", "entry lost"],
+    ids=["entry valid", "under another lease", "entry lost"],
 )
-def test_a_registration_is_checked_when_the_source_has_returned_from_a_copy(
-    shown, kept, registered
-):
-    """Guards against a lease that is renewed although its number is another instance's by now."""
+def test_registration_is_revalidated_after_restore(shown, kept, registered):
+    """Guards against renewing a lease whose number now belongs to another instance."""
     source, view = Source(keeps=[1]), make_view()
-    view.take_snapshot(news.Snapshot((), 5, 1))
+    view.apply_snapshot(source_module.Snapshot((), 5, 1))
     source.era = 1
 
     async def main():
@@ -329,7 +335,7 @@
                 await asyncio.sleep(0.001)
             source.era = 2
             written = () if shown is None else (attrs.evolve(shown, era=2),)
-            view.take_snapshot(news.Snapshot(written, 4, 2))
+            view.apply_snapshot(source_module.Snapshot(written, 4, 2))
             source.steps["keep"] = [1, 1]
             while source.kept[-1:] != kept[-1:] or len(source.kept) < len(kept):
                 await asyncio.sleep(0.001)
@@ -340,8 +346,8 @@
     assert (source.kept[:2], source.registered) == (kept, registered)
 
 
-def test_an_entry_written_while_the_source_returned_from_a_copy_is_written_again():
-    """Guards against an entry under a lease number that the source gave out again."""
+def test_entry_written_during_restore_is_written_again():
+    """Guards against an entry under a lease number that the source has assigned again."""
 
     class Returning(Source):
         async def register(self, instance, lease):
@@ -359,17 +365,20 @@
 
 
 def replica_entry(name, revision):
-    return news.Written(f"r/{name}", scripted.entry(name), revision)
+    return source_module.Written(f"r/{name}", scripted.entry(name), revision)
 
 
-def test_lost_history_is_no_matter_of_those_that_ask_this_instance():
+def test_journal_continues_after_lost_history():
     """
-    The store forgets its history. The instance that follows it for others reads everything anew and
-    began its journal anew as well: each of the others read everything for itself.
+    Guards against a full read by every instance when the store loses its history: the relay took a
+    new snapshot and restarted its journal, so that each other instance had to take one as well.
     """
     before = (configured(1), replica_entry("a", 2), replica_entry("b", 3))
     after = (configured(9), replica_entry("b", 3), replica_entry("c", 8))
-    source = Source([news.Snapshot(before, 4), news.Snapshot(after, 9)], [news.HistoryLostError()])
+    source = Source(
+        [source_module.Snapshot(before, 4), source_module.Snapshot(after, 9)],
+        [source_module.HistoryLostError()],
+    )
     journal = journal_module.Journal()
 
     async def main():
@@ -377,7 +386,9 @@
             source, source.changes, make_view(), journal, counters.Counters(), random.Random(1)
         )
         await while_running(work, lambda: len(source.asked_after) == 2)
-        return await journal.since(news.Position(0, 4), 0.0)
+        return await journal.since(source_module.Position(0, 4), 0.0)
 
     found = asyncio.run(main())
-    assert found == news.Changes((replica_entry("c", 8), configured(9), news.Removed("r/a", 9)), 9)
+    assert found == source_module.Changes(
+        (replica_entry("c", 8), configured(9), source_module.Removed("r/a", 9)), 9
+    )
