--- a/src/turmericlug/daemon.py
+++ b/src/turmericlug/daemon.py
@@ -333,7 +333,7 @@
     events.emit("instance.leaving")
     mesh.members.announce(state=members_module.LEAVING)
     await asyncio.sleep(2 * settings.membership.probe_interval_ms / 1000)
-    owner.hand_over()
+    owner.drain()
     await asyncio.sleep(settings.policy.address_lifetime_ms / 1000)
     end_s = time.monotonic() + _FINISH_LIMIT_S
     while (owner.in_flight() or coordinator.running) and time.monotonic() < end_s:
--- a/src/turmericlug/direct/replica.py
+++ b/src/turmericlug/direct/replica.py
@@ -157,5 +157,5 @@
         if self.failures < FAILURES_TO_EJECT:
             return False
         self.ejections += 1
-        self.ejected_until_s = now_s + policy.eject_ms(self.ejections) / 1000
+        self.ejected_until_s = now_s + policy.ejection_ms(self.ejections) / 1000
         return True
--- a/src/turmericlug/direct/replicas.py
+++ b/src/turmericlug/direct/replicas.py
@@ -45,7 +45,7 @@
     """Recent times of one route's sends to the replicas of one data centre."""
 
     def __init__(self, guess_ms: float) -> None:
-        self._recent = policy.RecentTimes()
+        self._recent = policy.DurationWindow()
         self._guess_ms = guess_ms
 
     def add(self, duration_ms: float) -> None:
--- a/src/turmericlug/entry/stalls.py
+++ b/src/turmericlug/entry/stalls.py
@@ -19,7 +19,7 @@
 
     def __init__(self) -> None:
         self._ticked_s = asyncio.get_running_loop().time()
-        self._lags = policy.RecentTimes()
+        self._lags = policy.DurationWindow()
 
     async def watch(self) -> None:
         """Tick for ever."""
--- a/src/turmericlug/operators/http.py
+++ b/src/turmericlug/operators/http.py
@@ -277,7 +277,7 @@
                             "target": each.instance,
                             "in_flight": each.in_flight,
                             "limit": round(each.limit, 2),
-                            "slots": each.ceiling,
+                            "slots": each.max_limit,
                             "latency_ms": round(each.latency_ms, 2),
                             "leaving": each.leaving,
                             "ejected": bool(each.ejections),
--- a/src/turmericlug/owner/hedging.py
+++ b/src/turmericlug/owner/hedging.py
@@ -18,7 +18,7 @@
     budget: policy.Budget
     retries: policy.Budget
     percentile: float
-    times: policy.RecentTimes
+    times: policy.DurationWindow
     clock: policy.HedgeClock = attrs.field(factory=policy.HedgeClock)
 
     def delay_ms(self) -> float | None:
--- a/src/turmericlug/owner/owner.py
+++ b/src/turmericlug/owner/owner.py
@@ -230,7 +230,7 @@
                 replica = self._new_replica(entry, limits.slots if limits else 1)
                 queue.replicas[entry.instance] = replica
                 if not replica.leaving:
-                    warmed.append(client.warm(replica.address, int(replica.ceiling), 1.0))
+                    warmed.append(client.warm(replica.address, int(replica.max_limit), 1.0))
             if entry.leaving:
                 queue.leave(entry.instance, replica_module.LISTED_DRAIN)
         present = {entry.instance for entry in listed}
@@ -364,7 +364,7 @@
                 missing.append(self._queue(service))
         await asyncio.gather(*missing)
 
-    def hand_over(self) -> None:
+    def drain(self) -> None:
         """Take no new parts and give the queued ones back to their coordinators."""
         self.leaving = True
         for queue in self.queues.values():
--- a/src/turmericlug/owner/policy.py
+++ b/src/turmericlug/owner/policy.py
@@ -66,7 +66,7 @@
     return rng.uniform(0, min(BACKOFF_MAX_MS, BACKOFF_BASE_MS * 2**attempt))
 
 
-def eject_ms(ejections: int) -> float:
+def ejection_ms(ejections: int) -> float:
     """Tell how long a replica stays aside after its n-th ejection in a row."""
     return min(EJECT_MAX_MS, EJECT_BASE_MS * 2 ** max(ejections - 1, 0))
 
@@ -151,7 +151,7 @@
         self.factor = min(self.most, max(1.0, self.factor * change))
 
 
-class RecentTimes:
+class DurationWindow:
     """A window of the latest durations, with their mean and percentiles."""
 
     def __init__(self, size: int = 200) -> None:
--- a/src/turmericlug/owner/replica.py
+++ b/src/turmericlug/owner/replica.py
@@ -18,7 +18,7 @@
     instance: str
     address: str
     data_centre: str
-    ceiling: float
+    max_limit: float
     limit: float = policy.SLOW_START_LIMIT
     in_flight: int = 0
     latency_ms: float = 0.0
@@ -50,7 +50,7 @@
         self.failures = self.ejections = 0
         self.answered_at_s = time.monotonic()
         self.suspected = False
-        self.limit = policy.raised_limit(self.limit, self.ceiling)
+        self.limit = policy.raised_limit(self.limit, self.max_limit)
         weight = 0.2 if self.latency_ms else 1.0
         self.latency_ms += (duration_ms - self.latency_ms) * weight
 
@@ -71,5 +71,5 @@
         self.ejections += 1
         self.failures = 0
         self.limit = policy.SLOW_START_LIMIT
-        self.ejected_until_s = time.monotonic() + policy.eject_ms(self.ejections) / 1000
+        self.ejected_until_s = time.monotonic() + policy.ejection_ms(self.ejections) / 1000
         return True
--- a/src/turmericlug/owner/service_queue.py
+++ b/src/turmericlug/owner/service_queue.py
@@ -41,7 +41,7 @@
     ) -> None:
         self.service = service
         self.replicas: dict[str, replica_module.Replica] = {}
-        self.times = policy.RecentTimes()
+        self.times = policy.DurationWindow()
         self._client = client
         self._counters = counters
         self._rng = rng
--- a/tests/owner/test_policy.py
+++ b/tests/owner/test_policy.py
@@ -87,7 +87,7 @@
 
 
 def test_percentile_needs_enough_times():
-    times = policy.RecentTimes()
+    times = policy.DurationWindow()
     for number in range(19):
         times.add(number)
     assert times.percentile_ms(95) is None
