--- a/src/turmericlug/owner/__init__.py
+++ b/src/turmericlug/owner/__init__.py
@@ -1,1 +1,1 @@
-"""The target's side of a query: one queue per service, limits, hedging, retries."""
+"""The owner side of a query: one queue per service, concurrency limits, hedges and retries."""
--- a/src/turmericlug/owner/fair_queue.py
+++ b/src/turmericlug/owner/fair_queue.py
@@ -1,4 +1,4 @@
-"""The queue of one service: by priority, then in turn by caller, then by deadline."""
+"""Queue of one service: by priority, then round-robin by caller, then by deadline."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import typing
 
 
-class Entry(typing.Protocol):
-    """What the queue looks at."""
+class QueueItem(typing.Protocol):
+    """The fields by which the queue orders its items."""
 
     caller: str
     priority: int
@@ -17,20 +17,20 @@
     done: bool
 
 
-Item = typing.TypeVar("Item", bound=Entry)
+Item = typing.TypeVar("Item", bound=QueueItem)
 
 
 class FairQueue(typing.Generic[Item]):
     """
-    Parts waiting for a slot.
+    Parts that wait for a slot.
 
-    Callers of one priority take turns, so that one caller's retry storm lengthens only its own
-    queue. A part that is done (cancelled, answered) is dropped when its turn comes.
+    Callers of the same priority are served round-robin, so that a retry storm of one caller delays
+    only that caller's parts. A part that is done (cancelled, answered) is dropped on removal.
     """
 
     def __init__(self) -> None:
-        self._lanes: dict[int, collections.OrderedDict[str, list[tuple[float, int, Item]]]] = {}
-        self._order = itertools.count()
+        self._levels: dict[int, collections.OrderedDict[str, list[tuple[float, int, Item]]]] = {}
+        self._sequence = itertools.count()
         self._length = 0
 
     def __len__(self) -> int:
@@ -38,46 +38,48 @@
 
     def push(self, item: Item) -> None:
         """Add a part."""
-        lane = self._lanes.setdefault(item.priority, collections.OrderedDict())
-        heapq.heappush(lane.setdefault(item.caller, []), (item.deadline_s, next(self._order), item))
+        level = self._levels.setdefault(item.priority, collections.OrderedDict())
+        heapq.heappush(
+            level.setdefault(item.caller, []), (item.deadline_s, next(self._sequence), item)
+        )
         self._length += 1
 
     def pop(self) -> Item | None:
-        """Take the next part that still waits."""
-        for priority in sorted(self._lanes, reverse=True):
-            lane = self._lanes[priority]
-            while lane:
-                caller, heap = next(iter(lane.items()))
+        """Remove and return the next part that is not done."""
+        for priority in sorted(self._levels, reverse=True):
+            level = self._levels[priority]
+            while level:
+                caller, heap = next(iter(level.items()))
                 item = heapq.heappop(heap)[2]
                 self._length -= 1
                 if heap:
-                    lane.move_to_end(caller)
+                    level.move_to_end(caller)
                 else:
-                    del lane[caller]
+                    del level[caller]
                 if not item.done:
                     return item
-            del self._lanes[priority]
+            del self._levels[priority]
         return None
 
-    def ahead_of(self, priority: int, caller: str) -> int:
-        """Count the parts that would go before a new one of a caller."""
+    def count_ahead_of(self, priority: int, caller: str) -> int:
+        """Count the queued parts that would be served before a new part of a caller."""
         ahead = 0
-        for each, lane in self._lanes.items():
+        for each, level in self._levels.items():
             if each > priority:
-                ahead += sum(len(heap) for heap in lane.values())
+                ahead += sum(len(heap) for heap in level.values())
             elif each == priority:
-                own = len(lane.get(caller, ()))
+                own = len(level.get(caller, ()))
                 ahead += own + sum(
-                    min(len(heap), own + 1) for name, heap in lane.items() if name != caller
+                    min(len(heap), own + 1) for name, heap in level.items() if name != caller
                 )
         return ahead
 
-    def of_caller(self, caller: str) -> int:
-        """Count a caller's parts."""
-        return sum(len(lane.get(caller, ())) for lane in self._lanes.values())
+    def count_of_caller(self, caller: str) -> int:
+        """Count the queued parts of a caller."""
+        return sum(len(level.get(caller, ())) for level in self._levels.values())
 
     def drain(self) -> list[Item]:
-        """Take everything that still waits."""
+        """Remove and return all parts that are not done."""
         items = []
         while (item := self.pop()) is not None:
             items.append(item)
--- a/src/turmericlug/owner/hedging.py
+++ b/src/turmericlug/owner/hedging.py
@@ -1,4 +1,4 @@
-"""When a part gets a second attempt, and which budget pays for it."""
+"""When a part is hedged with a second attempt, and which budget the hedge is charged to."""
 
 from __future__ import annotations
 
@@ -8,45 +8,48 @@
 from turmericlug.owner import policy
 
 _STUCK_FACTOR = 4.0
-"""Multiples of the mean service time after which an attempt is long overdue."""
+"""Multiple of the mean service time after which an attempt may be stuck."""
 
 
 @attrs.define
 class Hedging:
-    """What one service's hedges look at."""
+    """Hedge decisions of one service."""
 
-    budget: policy.Budget
-    retries: policy.Budget
+    hedge_budget: policy.TokenBudget
+    retry_budget: policy.TokenBudget
     percentile: float
-    times: policy.DurationWindow
-    clock: policy.HedgeClock = attrs.field(factory=policy.HedgeClock)
+    durations: policy.DurationWindow
+    delay: policy.HedgeDelay = attrs.field(factory=policy.HedgeDelay)
 
     def delay_ms(self) -> float | None:
-        """Return the age at which a part is late, ``None`` before there is enough to tell."""
-        late_ms = self.times.percentile_ms(self.percentile)
-        return None if late_ms is None else late_ms * self.clock.factor
+        """Return the hedge delay, ``None`` while there are too few durations for a percentile."""
+        base_ms = self.durations.percentile_ms(self.percentile)
+        return None if base_ms is None else base_ms * self.delay.factor
 
     def stuck_after_ms(self) -> float:
-        """Return the age at which an attempt is long overdue."""
-        return _STUCK_FACTOR * max(self.times.mean_ms, 1.0)
+        """Return the age from which an attempt may be stuck."""
+        return _STUCK_FACTOR * max(self.durations.mean_ms, 1.0)
 
     def looks_stuck(self, attempt: part_module.Attempt, now_s: float) -> bool:
-        """Whether a replica has answered nothing since an attempt that is long overdue."""
+        """Whether an attempt is overdue and its replica has answered nothing since it started."""
         age_ms = (now_s - attempt.began_at_s) * 1000
-        silent = attempt.replica.answered_at_s < attempt.began_at_s
-        return silent and age_ms > self.stuck_after_ms()
+        unanswered = attempt.replica.last_answer_at_s < attempt.began_at_s
+        return unanswered and age_ms > self.stuck_after_ms()
 
-    def pay(self, attempts: list[part_module.Attempt], now_s: float) -> bool:
+    def try_spend(self, attempts: list[part_module.Attempt], now_s: float) -> bool:
         """
-        Pay for a second attempt.
+        Charge a hedge to a budget; return whether the hedge may start.
 
-        From the hedge budget; for a part that waits on a replica which looks stuck, from that of
-        retries: a replica that takes requests and never answers makes every part that it gets
-        late, more than the hedge budget pays for. The trial part of an ejected one is free, since
-        there is one at a time.
+        A hedge is charged to the hedge budget. If all attempts of the part look stuck, it may also
+        be charged to the retry budget: a replica that accepts requests and never answers makes
+        every part that it receives late, which exceeds the hedge budget. A hedge of the probe of an
+        ejected replica is free, because such a replica gets one part at a time.
 
-        :param attempts: those of the part that run now
+        :param attempts: the part's attempts in flight
         """
-        if any(each.replica.ejections for each in attempts) or self.budget.spend():
+        if any(each.replica.ejections for each in attempts) or self.hedge_budget.try_spend():
             return True
-        return all(self.looks_stuck(each, now_s) for each in attempts) and self.retries.spend()
+        return (
+            all(self.looks_stuck(each, now_s) for each in attempts)
+            and self.retry_budget.try_spend()
+        )
--- a/src/turmericlug/owner/owner.py
+++ b/src/turmericlug/owner/owner.py
@@ -1,4 +1,4 @@
-"""The owner's role of a daemon: the queues of its services and the replicas behind them."""
+"""Owner role of a daemon: the queues of its services and their replicas."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 _HEALTH_TIMEOUT_S = 0.5
 _STANDBY_OWNERS = 2
-_KEEP_UNOWNED_S = 2.0
+_UNOWNED_KEEP_S = 2.0
 _PARTS_PER_TURN = 16
 
 
@@ -37,7 +37,7 @@
 
 
 class Owner:
-    """Queues by service, made when a service is first owned or asked for."""
+    """Queues by service, opened when a service is first owned or requested."""
 
     def __init__(
         self,
@@ -55,25 +55,25 @@
         self._session = session
         self._counters = counters
         self._rng = random.Random(settings.instance.name)
-        self._stacks: dict[str, contextlib.AsyncExitStack] = {}
+        self._queue_stacks: dict[str, contextlib.AsyncExitStack] = {}
         self._idle_since_s: dict[str, float] = {}
         self._opening: dict[str, asyncio.Task[service_queue.ServiceQueue]] = {}
         self._generations: dict[str, int] = {}
-        self._known_leaving: set[str] = set()
-        # Ranking all instances for each of 500 parts would cost more than the rest of a query.
+        self._leaving_targets: set[str] = set()
+        # Cached: ranking all instances for each of 500 parts costs more than the rest of a query.
         self._rankings: dict[str, list[members_module.Member]] = {}
         self._ranked_at = (-1, -1)
         self._tasks = tasks.Tasks()
         self.suspects = suspects_module.Suspects(
-            counters, self._tell_suspects, lambda: spread.tells_on(len(self._others()))
+            counters, self._broadcast_suspects, lambda: spread.tells_on(len(self._peer_names()))
         )
 
     def ranking(
         self, service: str, joining: tuple[members_module.Member, ...] = ()
     ) -> list[members_module.Member]:
         """Rank the instances that may own a service, the owner first."""
-        # The data centre comes from the catalogue, never from the instance list as this instance
-        # happens to see it: instances would rank differently, and each have another owner.
+        # The data centre comes from the catalogue, not from the instance list as seen here: with
+        # different lists, instances would rank differently and disagree on the owner.
         limits = self._config.catalog.services.get(service)
         centre = limits.data_centre if limits else ""
         members = self._mesh.members
@@ -92,13 +92,15 @@
         ranking = self.ranking(service, joining)
         return bool(ranking) and ranking[0].instance == self._mesh.members.own.instance
 
-    def submit(self, parts_in: submission.PartsIn, on_replies: OnReplies) -> abc.Callable[[], None]:
+    def submit(
+        self, parts_request: submission.PartsRequest, on_replies: OnReplies
+    ) -> abc.Callable[[], None]:
         """
-        Take parts; replies come in batches, those of one turn of the event loop together.
+        Submit parts; the replies of one event loop iteration are delivered in one batch.
 
-        :returns: gives up what is still open
+        :returns: cancels the unfinished parts
         """
-        deadline_s = time.monotonic() + parts_in.remaining_s
+        deadline_s = time.monotonic() + parts_request.remaining_s
         batch: list[part_module.PartReply] = []
 
         def flush() -> None:
@@ -111,70 +113,73 @@
                 asyncio.get_running_loop().call_soon(flush)
             batch.append(part_reply)
 
-        pending = submission.Pending(parts_in, deadline_s, reply)
-        self._submit_some(pending)
+        pending = submission.PendingParts(parts_request, deadline_s, reply)
+        self._submit_next(pending)
         return pending.cancel
 
-    def _submit_some(self, pending: submission.Pending) -> None:
+    def _submit_next(self, pending: submission.PendingParts) -> None:
         """
-        Take a few parts, and the next few in the next turn of the event loop.
+        Submit a few parts, and the next ones in the next iteration of the event loop.
 
-        Each part taken starts an attempt; five hundred in one turn keep the process from answering
-        pings for longer than its peers' silence limit, and they move the parts elsewhere.
+        Each part starts an attempt. Five hundred in one iteration block the event loop for longer
+        than the peers' silence limit, so pings go unanswered and the peers move the parts to other
+        owners.
         """
         for _ in range(_PARTS_PER_TURN):
-            if pending.cancelled or not pending.waiting:
+            if pending.cancelled or not pending.unsubmitted:
                 return
-            number, service, shard = pending.waiting.popleft()
-            part = self._part(pending, number, shard)
+            number, service, shard = pending.unsubmitted.popleft()
+            part = self._make_part(pending, number, shard)
             queue = self.queues.get(service)
             if self.leaving:
                 self._counters.add("owner.part.refused.owner_leaving")
                 part.reply(part_module.PartReply(number, part_module.REFUSED, "owner_leaving"))
             elif queue is None:
-                self._tasks.start(self._submit_later(service, part, pending))
+                self._tasks.start(self._submit_after_open(service, part, pending))
             else:
-                pending.made.append((queue, part))
+                pending.submitted.append((queue, part))
                 queue.submit(part)
-        asyncio.get_running_loop().call_soon(self._submit_some, pending)
+        asyncio.get_running_loop().call_soon(self._submit_next, pending)
 
-    def _part(self, pending: submission.Pending, number: int, shard: str) -> part_module.Part:
-        terms = pending.parts_in.terms
+    def _make_part(
+        self, pending: submission.PendingParts, number: int, shard: str
+    ) -> part_module.Part:
+        parameters = pending.parts_request.parameters
         return part_module.Part(
             number=number,
             shard=shard,
-            snapshot=pending.parts_in.snapshot,
-            caller=terms.caller,
-            priority=terms.priority,
+            snapshot=pending.parts_request.snapshot,
+            caller=parameters.caller,
+            priority=parameters.priority,
             deadline_s=pending.deadline_s,
-            repeatable=terms.repeatable,
-            hedge=terms.hedge,
-            retries=terms.retries,
-            body=terms.body,
+            repeatable=parameters.repeatable,
+            hedge=parameters.hedge,
+            retries=parameters.retries,
+            body=parameters.body,
             reply=pending.reply,
-            attempt_prefix=f"{terms.query_id}.{number}.{self._settings.instance.name}",
+            attempt_prefix=f"{parameters.query_id}.{number}.{self._settings.instance.name}",
             fingerprint=pending.fingerprint,
         )
 
-    async def _submit_later(
-        self, service: str, part: part_module.Part, pending: submission.Pending
+    async def _submit_after_open(
+        self, service: str, part: part_module.Part, pending: submission.PendingParts
     ) -> None:
-        """Open a service that we did not expect, as when the coordinator's view differs."""
-        queue = await self._queue(service)
+        """Open the queue of a service not owned here, as when the coordinator's view differs."""
+        queue = await self._get_queue(service)
         if not pending.cancelled:
-            pending.made.append((queue, part))
+            pending.submitted.append((queue, part))
             queue.submit(part)
 
-    async def _queue(self, service: str) -> service_queue.ServiceQueue:
-        """Open a service's queue once, however many ask for it."""
+    async def _get_queue(self, service: str) -> service_queue.ServiceQueue:
+        """Return a service's queue; concurrent requests open it once."""
         if service not in self._opening:
-            self._opening[service] = self._tasks.start(self._open(service))
+            self._opening[service] = self._tasks.start(self._open_queue(service))
         return await asyncio.shield(self._opening[service])
 
-    async def _open(self, service: str) -> service_queue.ServiceQueue:
+    async def _open_queue(self, service: str) -> service_queue.ServiceQueue:
         limits = self._config.catalog.services.get(service)
         connections = limits.connections if limits else 2
-        # Under split views two instances own a service; each keeps to half the connections.
+        # While views differ, two instances may own a service, so each uses half the connections.
         stack = contextlib.AsyncExitStack()
         client = await stack.enter_async_context(target.connected(connections // 2, self._counters))
         policy = self._settings.policy
@@ -190,28 +195,30 @@
             policy.caller_share,
             self.suspects,
         )
-        queue.on_leaving = lambda instance: self._tell_leaving(service, instance)
-        await self._refresh(service, queue, client)
-        await stack.enter_async_context(tasks.background(self._follow(service, queue, client)))
+        queue.on_leaving = lambda instance: self._notify_leaving(service, instance)
+        await self._refresh_replicas(service, queue, client)
+        await stack.enter_async_context(
+            tasks.background(self._poll_replicas(service, queue, client))
+        )
         stack.push_async_callback(queue.close)
-        self._stacks[service] = stack
+        self._queue_stacks[service] = stack
         self.queues[service] = queue
         return queue
 
-    async def _follow(
+    async def _poll_replicas(
         self, service: str, queue: service_queue.ServiceQueue, client: target.Client
     ) -> None:
-        """Keep the replicas of one service up to date until cancelled."""
+        """Refresh and health-check the replicas of one service until cancelled."""
         period_s = self._settings.platform.instances_poll_ms / 1000
         while True:
             await asyncio.sleep(period_s * self._rng.uniform(0.9, 1.1))
-            await self._refresh(service, queue, client)
+            await self._refresh_replicas(service, queue, client)
             await asyncio.gather(
                 *(self._check_health(client, each) for each in queue.replicas.values())
             )
             queue.pump()
 
-    async def _refresh(
+    async def _refresh_replicas(
         self, service: str, queue: service_queue.ServiceQueue, client: target.Client
     ) -> None:
         try:
@@ -222,23 +229,23 @@
                 max(self._settings.platform.instances_poll_ms / 1000, 0.5),
             )
         except instances.InstancesError:
-            return  # what we know by our own attempts is newer than nothing
+            return  # what own attempts have shown is better than nothing
         limits = self._config.catalog.services.get(service)
-        warmed = []
+        warming = []
         for entry in listed:
             if self._generations.get(entry.instance) != entry.generation:
                 replica = self._new_replica(entry, limits.slots if limits else 1)
                 queue.replicas[entry.instance] = replica
                 if not replica.leaving:
-                    warmed.append(client.warm(replica.address, int(replica.max_limit), 1.0))
+                    warming.append(client.warm(replica.address, int(replica.max_limit), 1.0))
             if entry.leaving:
-                queue.leave(entry.instance, replica_module.LISTED_DRAIN)
+                queue.mark_leaving(entry.instance, replica_module.LISTED_AS_LEAVING)
         present = {entry.instance for entry in listed}
         for instance in [name for name in queue.replicas if name not in present]:
             if not queue.replicas[instance].in_flight:
                 del queue.replicas[instance]
                 self._generations.pop(instance, None)
-        await asyncio.gather(*warmed)
+        await asyncio.gather(*warming)
 
     def _new_replica(self, entry: instances.Listed, slots: int) -> replica_module.Replica:
         self._generations[entry.instance] = entry.generation
@@ -249,21 +256,21 @@
             float(slots),
             generation=entry.generation,
         )
-        if f"{entry.instance}#{entry.generation}" in self._known_leaving:
+        if f"{entry.instance}#{entry.generation}" in self._leaving_targets:
             replica.leaving = "told_by_peer"
         return replica
 
     async def _check_health(self, client: target.Client, replica: replica_module.Replica) -> None:
-        """Ask a replica for its own word, which adds suspicion and never takes any away."""
+        """Mark a replica as suspected if its health check is not ok; only an answer clears that."""
         state = await client.health(replica.address, _HEALTH_TIMEOUT_S)
         if state != "ok" and not replica.suspected:
             replica.suspected = True
 
-    def _tell_leaving(self, service: str, instance: str) -> None:
+    def _notify_leaving(self, service: str, instance: str) -> None:
         """
-        Tell the next owners of the service that a target takes no new work.
+        Notify the next owners of the service that a target is draining.
 
-        The platform's list lags: an owner that takes over meanwhile would send it work again.
+        The platform's list lags: an owner that takes over in the meantime would use it again.
         """
         events.emit("target.leaving", target=instance, service=service)
         name = f"{instance}#{self._generations.get(instance, 0)}"
@@ -272,28 +279,28 @@
             if link is not None and member.instance != self._mesh.members.own.instance:
                 link.tell(lambda envelope: setattr(envelope, "targetLeaving", name))
 
-    def _others(self) -> list[str]:
+    def _peer_names(self) -> list[str]:
         own = self._mesh.members.own.instance
         names = (member.instance for member in self._mesh.members.serving())
         return [name for name in names if name != own]
 
-    def _tell_suspects(self, content: bytes) -> None:
-        for name in spread.listeners(self._others(), self._rng):
+    def _broadcast_suspects(self, content: bytes) -> None:
+        for name in spread.listeners(self._peer_names(), self._rng):
             link = self._mesh.link(name)
             if link is not None:
                 link.tell(lambda envelope: setattr(envelope, "suspects", content))
 
     def on_suspects(self, request: server_module.Request) -> None:
-        """Take over under which requests targets of others have ended."""
+        """Merge the suspected requests reported by a peer."""
         answer = self.suspects.on_told(request.message.suspects)
         link = self._mesh.link(request.peer)
         if answer is not None and link is not None:
             link.tell(lambda envelope: setattr(envelope, "suspects", answer))
 
     def on_target_leaving(self, request: server_module.Request) -> None:
-        """Note what another owner found out."""
+        """Mark a target as draining that another owner reports."""
         name = request.message.targetLeaving
-        self._known_leaving.add(name)
+        self._leaving_targets.add(name)
         instance, _, generation = name.rpartition("#")
         for queue in self.queues.values():
             replica = queue.replicas.get(instance)
@@ -301,87 +308,89 @@
                 replica.leaving = "told_by_peer"
 
     def on_parts(self, request: server_module.Request) -> None:
-        """Serve a coordinator on another instance."""
-        parts_in = submission.decode(request.message.parts)
+        """Handle parts submitted by a coordinator on another instance."""
+        parts_request = submission.decode_parts(request.message.parts)
 
         def on_replies(replies: list[part_module.PartReply]) -> None:
             request.reply(
-                lambda envelope: submission.fill_replies(envelope, parts_in.terms.query_id, replies)
+                lambda envelope: submission.fill_replies(
+                    envelope, parts_request.parameters.query_id, replies
+                )
             )
 
         if self._config.freshness.tick():
-            # We were frozen: the time that remains was counted from before, so that nobody may
-            # wait for these parts any more. Refused, they go where the coordinator likes.
+            # This process was suspended. The remaining time in the request dates from before, so
+            # the parts may have expired. Refused, they go to an owner of the coordinator's choice.
             on_replies(
                 [
                     part_module.PartReply(number, part_module.REFUSED, "resumed_after_gap")
-                    for number, _, _ in parts_in.parts
+                    for number, _, _ in parts_request.parts
                 ]
             )
             return
-        request.cancelled = self.submit(parts_in, on_replies)
+        request.cancelled = self.submit(parts_request, on_replies)
 
     async def run(self) -> None:
-        """Open the queues of the services that this instance owns before they are needed."""
+        """Open the queues of owned services in advance, and close those no longer owned."""
         while True:
             await self.open_owned()
-            await self._close_unowned()
+            await self._close_unowned_queues()
             self.suspects.forget()
             await asyncio.sleep(0.5)
 
-    async def _close_unowned(self) -> None:
+    async def _close_unowned_queues(self) -> None:
         """
-        Give up the connections of services that moved to another owner.
+        Close the queues and connections of services that moved to another owner.
 
-        Kept open, those of every instance that once owned a service would add up beyond what its
-        replicas accept, and the present owner's would be refused.
+        If every instance that once owned a service kept its connections, they would add up to more
+        than its replicas accept, and those of the current owner would be refused.
         """
         now_s = time.monotonic()
         for service, queue in list(self.queues.items()):
             if self.owns(service) or queue.queued() or queue.in_flight():
                 self._idle_since_s.pop(service, None)
-            elif now_s - self._idle_since_s.setdefault(service, now_s) > _KEEP_UNOWNED_S:
-                await self._close(service)
+            elif now_s - self._idle_since_s.setdefault(service, now_s) > _UNOWNED_KEEP_S:
+                await self._close_queue(service)
 
-    async def _close(self, service: str) -> None:
+    async def _close_queue(self, service: str) -> None:
         self._idle_since_s.pop(service, None)
         self._opening.pop(service, None)
         queue = self.queues.pop(service)
         for instance in queue.replicas:
             self._generations.pop(instance, None)
-        await self._stacks.pop(service).aclose()
+        await self._queue_stacks.pop(service).aclose()
 
     async def open_owned(self, joining: bool = False) -> None:
         """
-        Open, and so warm, what we own now.
+        Open the queues of the owned services, with their connections.
 
-        :param joining: rank as if we were ready already, to be warm before the first part comes
+        :param joining: rank as if this instance were ready, to connect before the first part
         """
         own = self._mesh.members.own
         missing = []
         for service in self._config.catalog.services:
             if service not in self._opening and self.owns(service, (own,) if joining else ()):
-                missing.append(self._queue(service))
+                missing.append(self._get_queue(service))
         await asyncio.gather(*missing)
 
     def drain(self) -> None:
-        """Take no new parts and give the queued ones back to their coordinators."""
+        """Refuse new parts and return the queued ones to their coordinators."""
         self.leaving = True
         for queue in self.queues.values():
-            queue.give_back()
+            queue.return_queued()
 
     def in_flight(self) -> int:
-        """Return the attempts under way in all queues."""
+        """Return the number of attempts in flight in all queues."""
         return sum(queue.in_flight() for queue in self.queues.values())
 
     def load_permille(self) -> int:
-        """Return how full our slots are, queues included."""
+        """Return queued parts and attempts in flight per slot, in thousandths."""
         slots = sum(queue.slots() for queue in self.queues.values())
         work = sum(queue.in_flight() + queue.queued() for queue in self.queues.values())
         return int(min(65535, 1000 * work / slots)) if slots else 0
 
     async def close(self) -> None:
-        """End what runs and close the connections to targets."""
+        """Cancel running tasks and close the connections to targets."""
         await self._tasks.close()
         for service in list(self.queues):
-            await self._close(service)
+            await self._close_queue(service)
--- a/src/turmericlug/owner/part.py
+++ b/src/turmericlug/owner/part.py
@@ -1,4 +1,4 @@
-"""A part of a query at its owner, its attempts, and what becomes of it."""
+"""A part of a query at its owner, its attempts and its outcome."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 @attrs.frozen(slots=True)
 class PartReply:
-    """What became of one part."""
+    """The outcome of one part, as the owner reports it to the coordinator."""
 
     number: int
     outcome: str
     reason: str = ""
     snapshot: str = ""
-    come_back_ms: int = 0
+    retry_after_ms: int = 0
     body: bytes = b""
     attempts: int = 0
     wait_ms: float = 0.0
-    """Predicted wait of a new part of the same caller and priority, as the reply leaves."""
+    """Predicted queue wait of a new part of the same caller and priority when the reply is sent."""
 
 
 @attrs.frozen(eq=False, slots=True)
 class Attempt:
-    """One sending of a part to a replica."""
+    """One attempt of a part at a replica."""
 
     replica: replica_module.Replica
     began_at_s: float
@@ -37,7 +37,7 @@
 
 @attrs.define(eq=False, slots=True)
 class Part:
-    """One shard's part of a query, waiting or running."""
+    """The part of a query that goes to one shard, queued or in flight."""
 
     number: int
     shard: str
@@ -52,9 +52,9 @@
     reply: abc.Callable[[PartReply], None]
     attempt_prefix: str
     fingerprint: bytes = b""
-    """The same each time the caller asks for the same."""
+    """Hash of the caller and the body: equal for repetitions of the same request by a caller."""
     on_trial: bool = False
-    """Whether it goes to one replica only, to find out whether that ends under it."""
+    """Whether the part is a trial: sent to one replica only, to see whether it crashes it."""
     queued_at_s: float = 0.0
     done: bool = False
     attempts: int = 0
--- a/src/turmericlug/owner/policy.py
+++ b/src/turmericlug/owner/policy.py
@@ -1,4 +1,8 @@
-"""Decisions under load: functions of explicit inputs, and the small state some of them need."""
+"""
+Admission, backoff, ejection, concurrency limits and hedge delay.
+
+Functions of explicit inputs, and the small state that some of them need.
+"""
 
 from __future__ import annotations
 
@@ -9,80 +13,83 @@
 
 import attrs
 
-EJECT_AFTER = 3
-"""Failures in a row that set a replica aside."""
-EJECT_BASE_MS = 500.0
-EJECT_MAX_MS = 10000.0
+EJECT_AFTER_FAILURES = 3
+"""Consecutive failures after which a replica is ejected."""
+EJECTION_BASE_MS = 500.0
+EJECTION_MAX_MS = 10000.0
 BACKOFF_BASE_MS = 4.0
 BACKOFF_MAX_MS = 100.0
-SLOW_START_LIMIT = 1.0
-REFUSE_NONE = 0.1
-REFUSE_ALL = 0.35
-"""Shares of a query's time that owners' queues may use up before queries are refused."""
-ADDITIVE_STEP = 0.25
+INITIAL_LIMIT = 1.0
+REFUSE_NONE_BELOW = 0.1
+REFUSE_ALL_FROM = 0.35
+"""
+Predicted queue wait as a share of a query's spare time: below the first no new query is refused,
+from the second every one.
+"""
+LIMIT_INCREASE = 0.25
 
 
 def predicted_wait_ms(ahead: int, slots: float, service_ms: float) -> float:
     """
     Estimate how long a part waits for a slot.
 
-    :param ahead: parts that go before it, queued or running
-    :param slots: slots of all replicas together
-    :param service_ms: mean time that a target takes for one part
+    :param ahead: parts that are served before it, queued or in flight
+    :param slots: sum of the concurrency limits of the replicas
+    :param service_ms: mean service time of one part
     """
     if ahead < slots:
         return 0.0
     return (ahead - slots + 1) * service_ms / max(slots, 1.0)
 
 
-def admits(remaining_ms: float, wait_ms: float, service_ms: float) -> bool:
-    """Tell whether a part can be expected to finish within its deadline."""
+def fits_deadline(remaining_ms: float, wait_ms: float, service_ms: float) -> bool:
+    """Whether a part is expected to finish before its deadline."""
     return wait_ms + service_ms <= remaining_ms
 
 
-def come_back_ms(wait_ms: float, rng: random.Random) -> int:
-    """Spread returning callers over the time that the present queue takes to drain."""
+def retry_after_ms(wait_ms: float, rng: random.Random) -> int:
+    """Draw a retry delay that spreads callers over the time in which the queue empties."""
     return int(rng.uniform(0.5, 1.5) * max(wait_ms, 20.0)) + 1
 
 
-def refuse_share(wait_ms: float, service_ms: float, remaining_ms: float) -> float:
+def refusal_probability(wait_ms: float, service_ms: float, remaining_ms: float) -> float:
     """
-    Tell which share of new queries to turn away before they start.
+    Return the probability with which to refuse a new query before it starts.
 
-    A query refused by one of its twenty owners has wasted the work of the other nineteen, so the
-    coordinators refuse whole queries first: none while the queue takes up less than a tenth of
-    the time at hand, all once it takes up ``REFUSE_ALL``, and evenly between. A longer queue would
-    not keep the slots busier, it would only make every answer late.
+    If one of twenty owners refuses its part of a query, the work of the other nineteen is wasted.
+    So the coordinators refuse whole queries first: none while the predicted wait is below a tenth
+    (``REFUSE_NONE_BELOW``) of the spare time, all from ``REFUSE_ALL_FROM``, and a linearly growing
+    share between. A longer queue keeps the slots no busier and only makes every answer late.
     """
     spare_ms = remaining_ms - service_ms
     if spare_ms <= 0:
         return 1.0
     used = wait_ms / spare_ms
-    return min(max((used - REFUSE_NONE) / (REFUSE_ALL - REFUSE_NONE), 0.0), 1.0)
+    return min(max((used - REFUSE_NONE_BELOW) / (REFUSE_ALL_FROM - REFUSE_NONE_BELOW), 0.0), 1.0)
 
 
 def backoff_ms(attempt: int, rng: random.Random) -> float:
-    """Draw a pause before a retry: exponential with full jitter."""
+    """Draw the delay before a retry: exponential backoff with full jitter."""
     return rng.uniform(0, min(BACKOFF_MAX_MS, BACKOFF_BASE_MS * 2**attempt))
 
 
 def ejection_ms(ejections: int) -> float:
-    """Tell how long a replica stays aside after its n-th ejection in a row."""
-    return min(EJECT_MAX_MS, EJECT_BASE_MS * 2 ** max(ejections - 1, 0))
+    """Return the duration of the n-th consecutive ejection of a replica."""
+    return min(EJECTION_MAX_MS, EJECTION_BASE_MS * 2 ** max(ejections - 1, 0))
 
 
-def raised_limit(limit: float, ceiling: float) -> float:
-    """Raise a concurrency limit after a success: one slot per four successes."""
-    return min(ceiling, limit + ADDITIVE_STEP / max(limit, 1.0))
+def increased_limit(limit: float, max_limit: float) -> float:
+    """Increase a concurrency limit after a success: by one slot per 4 * limit successes."""
+    return min(max_limit, limit + LIMIT_INCREASE / max(limit, 1.0))
 
 
-def lowered_limit(limit: float) -> float:
-    """Halve a concurrency limit after a refusal by the target."""
+def decreased_limit(limit: float) -> float:
+    """Halve a concurrency limit after the target refused an attempt."""
     return max(1.0, limit / 2)
 
 
 class HasLoad(typing.Protocol):
-    """What choosing a replica looks at."""
+    """The fields by which replicas are compared."""
 
     in_flight: int
     limit: float
@@ -93,12 +100,12 @@
 Choice = typing.TypeVar("Choice", bound=HasLoad)
 
 
-def choose(candidates: abc.Iterable[Choice]) -> Choice | None:
+def least_loaded(candidates: abc.Iterable[Choice]) -> Choice | None:
     """
-    Pick a replica with a free slot: the least in flight, ties by recent latency.
+    Select the replica with a free slot that has the fewest attempts in flight, ties by latency.
 
-    One under suspicion is taken only when no other has a slot: its own word may mislead either
-    way, so that it is neither trusted nor lost.
+    A suspected replica is selected only when no other has a free slot. A health check can be wrong
+    either way, so it neither excludes the replica nor is ignored.
     """
     free = [each for each in candidates if each.in_flight < math.floor(each.limit + 1e-9)]
     return min(
@@ -107,23 +114,23 @@
 
 
 @attrs.define
-class Budget:
+class TokenBudget:
     """
-    Tokens that grow with the work done, so that extra work stays a fixed share of it.
+    Budget that keeps extra attempts at a fixed share of the parts.
 
-    Without it, hedges and retries add load just when a target is slow from load.
+    Without it, hedges and retries add load exactly when a target is slow because of load.
     """
 
     share: float
-    most: float = 10.0
+    max_tokens: float = 10.0
     tokens: float = 1.0
 
-    def earn(self) -> None:
-        """Add the share of one part."""
-        self.tokens = min(self.most, self.tokens + self.share)
+    def deposit(self) -> None:
+        """Credit the share of one part."""
+        self.tokens = min(self.max_tokens, self.tokens + self.share)
 
-    def spend(self) -> bool:
-        """Take a token if there is a whole one."""
+    def try_spend(self) -> bool:
+        """Take one token; return whether a whole one was left."""
         if self.tokens < 1.0 or not self.share:
             return False
         self.tokens -= 1.0
@@ -131,34 +138,34 @@
 
 
 @attrs.define
-class HedgeClock:
+class HedgeDelay:
     """
-    When a part counts as late: a percentile of the recent times, raised while hedges don't pay.
+    Factor on the percentile of recent durations after which a part is hedged.
 
-    Where service times are narrow, the first attempt of a part past the percentile is nearly done,
-    and a hedge only adds load. So each hedge that loses raises the age at which the next one
-    starts and each that wins lowers it; the two balance where about one hedge in six wins.
+    If service times vary little, the first attempt of a part past the percentile is nearly done,
+    and a hedge only adds load. So each hedge that loses raises the factor and each one that wins
+    lowers it; the two balance when about one hedge in six wins.
     """
 
     factor: float = 1.0
-    raise_by: float = 1.03
-    lower_by: float = 0.85
-    most: float = 4.0
+    increase: float = 1.03
+    decrease: float = 0.85
+    max_factor: float = 4.0
 
-    def learn(self, won: bool) -> None:
-        """Take note of how a hedge ended."""
-        change = self.lower_by if won else self.raise_by
-        self.factor = min(self.most, max(1.0, self.factor * change))
+    def record_result(self, won: bool) -> None:
+        """Adjust the factor to the result of a hedge."""
+        change = self.decrease if won else self.increase
+        self.factor = min(self.max_factor, max(1.0, self.factor * change))
 
 
 class DurationWindow:
-    """A window of the latest durations, with their mean and percentiles."""
+    """A window of the latest durations, with a moving mean and percentiles."""
 
     def __init__(self, size: int = 200) -> None:
         self._size = size
         self._window: list[float] = []
-        self._next = 0
-        self._stale = 0
+        self._next_index = 0
+        self._added_since_sort = 0
         self._sorted: list[float] = []
         self.mean_ms = 0.0
 
@@ -167,16 +174,16 @@
         if len(self._window) < self._size:
             self._window.append(duration_ms)
         else:
-            self._window[self._next] = duration_ms
-        self._next = (self._next + 1) % self._size
-        self._stale += 1
+            self._window[self._next_index] = duration_ms
+        self._next_index = (self._next_index + 1) % self._size
+        self._added_since_sort += 1
         self.mean_ms += (duration_ms - self.mean_ms) / min(len(self._window), 50)
 
     def percentile_ms(self, percentile: float) -> float | None:
-        """Return a percentile, or ``None`` before there are enough durations to tell."""
+        """Return a percentile, ``None`` while there are fewer than 20 durations."""
         if len(self._window) < 20:
             return None
-        if not self._sorted or self._stale >= 16:
+        if not self._sorted or self._added_since_sort >= 16:
             self._sorted = sorted(self._window)
-            self._stale = 0
+            self._added_since_sort = 0
         return self._sorted[min(len(self._sorted) - 1, int(len(self._sorted) * percentile / 100))]
--- a/src/turmericlug/owner/replica.py
+++ b/src/turmericlug/owner/replica.py
@@ -1,4 +1,4 @@
-"""What an owner knows of one replica from its own attempts there."""
+"""State of one replica at an owner, learned from the owner's attempts there."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from turmericlug.owner import policy
 
-LISTED_DRAIN = "listed_as_leaving"
+LISTED_AS_LEAVING = "listed_as_leaving"
 
 
 @attrs.define(eq=False)
@@ -19,57 +19,57 @@
     address: str
     data_centre: str
     max_limit: float
-    limit: float = policy.SLOW_START_LIMIT
+    limit: float = policy.INITIAL_LIMIT
     in_flight: int = 0
     latency_ms: float = 0.0
     leaving: str = ""
-    """Why it takes no new work; empty while it does."""
+    """Why the replica gets no new attempts; empty unless it is draining."""
     suspected: bool = False
     failures: int = 0
     ejections: int = 0
     ejected_until_s: float = 0.0
-    answered_at_s: float = 0.0
-    absent: dict[str, float] = attrs.field(factory=dict)
-    """Snapshots that it did not hold when asked, with the time of asking."""
+    last_answer_at_s: float = 0.0
+    absent_snapshots: dict[str, float] = attrs.field(factory=dict)
+    """Snapshots that the replica reported absent, each with the time of the report."""
     generation: int = 0
-    """Which start it is, of those under its name."""
+    """Number of the start under this instance name, as the platform lists it."""
 
-    def usable(self, now_s: float) -> bool:
-        """Whether it may get work; an ejected one is tried again with one part at a time."""
+    def is_eligible(self, now_s: float) -> bool:
+        """Whether it may get an attempt; after an ejection it is probed with one at a time."""
         if self.leaving:
             return False
         return not self.ejections or (now_s >= self.ejected_until_s and self.in_flight == 0)
 
-    def lacks(self, snapshot: str, now_s: float) -> bool:
-        """Whether it lately said that it does not hold a snapshot."""
-        asked_at_s = self.absent.get(snapshot)
-        return asked_at_s is not None and now_s - asked_at_s < 0.25
+    def lacks_snapshot(self, snapshot: str, now_s: float) -> bool:
+        """Whether it reported within the last 250 ms that it does not hold a snapshot."""
+        reported_at_s = self.absent_snapshots.get(snapshot)
+        return reported_at_s is not None and now_s - reported_at_s < 0.25
 
-    def succeeded(self, duration_ms: float) -> None:
-        """Take note of an answer."""
+    def record_success(self, duration_ms: float) -> None:
+        """Record an answer; ends an ejection."""
         self.failures = self.ejections = 0
-        self.answered_at_s = time.monotonic()
+        self.last_answer_at_s = time.monotonic()
         self.suspected = False
-        self.limit = policy.raised_limit(self.limit, self.max_limit)
+        self.limit = policy.increased_limit(self.limit, self.max_limit)
         weight = 0.2 if self.latency_ms else 1.0
         self.latency_ms += (duration_ms - self.latency_ms) * weight
 
-    def refused(self) -> None:
-        """Take note of work that it turned away."""
-        self.limit = policy.lowered_limit(self.limit)
+    def record_refusal(self) -> None:
+        """Record an attempt that the replica refused."""
+        self.limit = policy.decreased_limit(self.limit)
 
-    def failed(self, may_eject: bool) -> bool:
+    def record_failure(self, may_eject: bool) -> bool:
         """
-        Take note of a failure; tells whether it is set aside now.
+        Record a failure; return whether the replica is ejected now.
 
-        :param may_eject: false for the last usable replica, which is better than none
+        :param may_eject: false for the last replica in use, which is better than none
         """
         self.failures += 1
-        enough = 1 if self.suspected or self.ejections else policy.EJECT_AFTER
-        if self.failures < enough or not may_eject:
+        threshold = 1 if self.suspected or self.ejections else policy.EJECT_AFTER_FAILURES
+        if self.failures < threshold or not may_eject:
             return False
         self.ejections += 1
         self.failures = 0
-        self.limit = policy.SLOW_START_LIMIT
+        self.limit = policy.INITIAL_LIMIT
         self.ejected_until_s = time.monotonic() + policy.ejection_ms(self.ejections) / 1000
         return True
--- a/src/turmericlug/owner/submission.py
+++ b/src/turmericlug/owner/submission.py
@@ -1,4 +1,4 @@
-"""A query's parts on the wire between a coordinator and an owner, and the replies to them."""
+"""Encoding of a query's parts and their replies between a coordinator and an owner."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 
 @attrs.frozen
-class Terms:
-    """What holds for every part of a query."""
+class QueryParameters:
+    """Parameters common to all parts of a query."""
 
     query_id: str
     caller: str
@@ -27,38 +27,38 @@
 
 
 @attrs.frozen
-class PartsIn:
-    """A query's parts as a coordinator sends them; ``parts`` has number, service, shard."""
+class PartsRequest:
+    """Parts that a coordinator submits to one owner; ``parts`` has number, service and shard."""
 
-    terms: Terms
+    parameters: QueryParameters
     snapshot: str
     remaining_s: float
     parts: tuple[tuple[int, str, str], ...]
 
 
-def fill(envelope: typing.Any, parts_in: PartsIn) -> None:
-    """Write the parts that a coordinator sends."""
-    terms = parts_in.terms
+def fill_parts(envelope: typing.Any, parts_request: PartsRequest) -> None:
+    """Write a request with parts into an envelope."""
+    parameters = parts_request.parameters
     message = envelope.init("parts")
-    message.queryId = terms.query_id
-    message.snapshot = parts_in.snapshot
-    message.remainingMs = max(0.0, parts_in.remaining_s * 1000)
-    message.priority = terms.priority
-    message.repeatable = terms.repeatable
-    message.hedge = terms.hedge
-    message.retries = terms.retries
-    message.caller = terms.caller
-    message.body = terms.body
-    items = message.init("parts", len(parts_in.parts))
-    for item, (number, service, shard) in zip(items, parts_in.parts, strict=True):
+    message.queryId = parameters.query_id
+    message.snapshot = parts_request.snapshot
+    message.remainingMs = max(0.0, parts_request.remaining_s * 1000)
+    message.priority = parameters.priority
+    message.repeatable = parameters.repeatable
+    message.hedge = parameters.hedge
+    message.retries = parameters.retries
+    message.caller = parameters.caller
+    message.body = parameters.body
+    items = message.init("parts", len(parts_request.parts))
+    for item, (number, service, shard) in zip(items, parts_request.parts, strict=True):
         item.number = number
         item.service = service
         item.shard = shard
 
 
-def decode(message: typing.Any) -> PartsIn:
-    """Read the parts that a coordinator sent."""
-    terms = Terms(
+def decode_parts(message: typing.Any) -> PartsRequest:
+    """Read a request with parts."""
+    parameters = QueryParameters(
         query_id=message.queryId,
         caller=message.caller,
         priority=message.priority,
@@ -68,11 +68,11 @@
         body=message.body,
     )
     parts = tuple((each.number, each.service, each.shard) for each in message.parts)
-    return PartsIn(terms, message.snapshot, message.remainingMs / 1000, parts)
+    return PartsRequest(parameters, message.snapshot, message.remainingMs / 1000, parts)
 
 
 def fill_replies(envelope: typing.Any, query_id: str, replies: list[part_module.PartReply]) -> None:
-    """Write replies to parts of one query."""
+    """Write replies to parts of one query into an envelope."""
     message = envelope.init("partsReply")
     message.queryId = query_id
     items = message.init("replies", len(replies))
@@ -82,31 +82,31 @@
         item.outcome = reply.outcome
         item.reason = reply.reason
         item.snapshot = reply.snapshot
-        item.comeBackMs = reply.come_back_ms
+        item.comeBackMs = reply.retry_after_ms
         item.body = reply.body
         item.attempts = reply.attempts
         item.waitMs = reply.wait_ms
 
 
 @attrs.define(eq=False)
-class Pending:
-    """A coordinator's parts on their way into the queues."""
+class PendingParts:
+    """The parts of one request, while they are submitted to the queues in several steps."""
 
-    parts_in: PartsIn
+    parts_request: PartsRequest
     deadline_s: float
     reply: abc.Callable[[part_module.PartReply], None]
-    made: list[tuple[service_queue.ServiceQueue, part_module.Part]] = attrs.field(factory=list)
-    waiting: collections.deque[tuple[int, str, str]] = attrs.field(init=False)
+    submitted: list[tuple[service_queue.ServiceQueue, part_module.Part]] = attrs.field(factory=list)
+    unsubmitted: collections.deque[tuple[int, str, str]] = attrs.field(init=False)
     cancelled: bool = False
     fingerprint: bytes = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.waiting = collections.deque(self.parts_in.parts)
-        terms = self.parts_in.terms
-        self.fingerprint = fingerprint.of((terms.caller.encode(), terms.body))
+        self.unsubmitted = collections.deque(self.parts_request.parts)
+        parameters = self.parts_request.parameters
+        self.fingerprint = fingerprint.of((parameters.caller.encode(), parameters.body))
 
     def cancel(self) -> None:
-        """Give up what is still open, also what has not reached a queue yet."""
+        """Cancel all unfinished parts, including those not submitted to a queue yet."""
         self.cancelled = True
-        for queue, part in self.made:
+        for queue, part in self.submitted:
             queue.cancel(part)
--- a/src/turmericlug/owner/target.py
+++ b/src/turmericlug/owner/target.py
@@ -1,4 +1,4 @@
-"""One request to a target over HTTP, and what its outcome proves."""
+"""HTTP client of the targets, and what the outcome of a request proves about its execution."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 DEADLINE_MS = "Query-Deadline-Ms"
 NOT_RUN = "Query-Not-Run"
 CANCELLED_STATUS = 499
-"""Sent by a target for an attempt that it had begun and gave up on request."""
+"""Status of an attempt that the target had started and then cancelled on request."""
 CANCEL_GRACE_S = 0.05
 KEEP_ALIVE_S = 3600.0
 MAX_REPLY_BYTES = 4 << 20
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """The part certainly did not run: never sent, or the target says so."""
+    """The part did not run: the request was not sent, or the target says so."""
 
     reason: str
 
@@ -48,19 +48,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """The part may have run, and its answer can't be used."""
+    """The part may have run, and there is no usable answer."""
 
     reason: str
 
 
 CONNECTION_LOST = Unknown("connection_lost")
-"""The connection ended while the target had the part."""
+"""The connection was lost after the request was sent."""
 
 Outcome = Answered | NotRun | SnapshotAbsent | Unknown
 
 
 class Client:
-    """Connections to the replicas of one service, few and long-lived."""
+    """Requests to the replicas of one service, over a small pool of keep-alive connections."""
 
     def __init__(self, session: aiohttp.ClientSession, counters: counters_module.Counters) -> None:
         self._session = session
@@ -78,12 +78,12 @@
         """
         Run one part on one replica.
 
-        Sent with POST: the HTTP library repeats idempotent methods by itself when a kept
-        connection turns out closed, and a request that may not be repeated would run twice.
+        The request uses POST: when a keep-alive connection turns out to be closed, the HTTP library
+        retries idempotent methods by itself, and a part that must not be repeated would run twice.
 
         :param address: ``http://host:port``
-        :param attempt: identifier that the reply must echo
-        :param remaining_s: time left; the target gets it too
+        :param attempt: identifier that the response must echo
+        :param remaining_s: time to the deadline; sent to the target as well
         """
         headers = {
             ATTEMPT: attempt,
@@ -111,9 +111,9 @@
         self, response: aiohttp.ClientResponse, attempt: str, snapshot: str
     ) -> Outcome:
         body = await response.read()
-        # A reply that names another attempt was meant for another request, as on a connection
-        # whose earlier request timed out. It is dropped with its connection: whatever else is in
-        # that stream is off by one as well.
+        # A response with the identifier of another attempt belongs to another request, for example
+        # to an earlier one on this connection that timed out. The connection is closed with it:
+        # all later responses on it would be off by one as well.
         if response.headers.get(ATTEMPT) != attempt:
             self._counters.add("owner.mismatched_reply")
             response.close()
@@ -133,7 +133,7 @@
         return Unknown(f"status_{response.status}")
 
     async def cancel(self, address: str, attempt: str) -> None:
-        """Ask a target to give up an attempt; it then answers that attempt at once."""
+        """Ask a target to cancel an attempt; the target then answers the attempt at once."""
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
             async with asyncio.timeout(CANCEL_GRACE_S):
                 async with self._session.post(
@@ -142,7 +142,7 @@
                     await response.read()
 
     async def health(self, address: str, timeout_s: float) -> str:
-        """Return a replica's own word on its state, or an empty text when it gives none."""
+        """Return the state from a replica's health check, an empty string if there is none."""
         try:
             async with asyncio.timeout(timeout_s):
                 async with self._session.get(f"{address}/v1/health") as response:
@@ -152,7 +152,7 @@
             return ""
 
     async def refuses(self, address: str, timeout_s: float) -> bool:
-        """Whether a replica takes no connection, as after its end."""
+        """Whether a replica refuses connections, as after a crash."""
         try:
             async with asyncio.timeout(timeout_s):
                 async with self._session.get(f"{address}/v1/health"):
@@ -163,7 +163,7 @@
             return False
 
     async def warm(self, address: str, connections: int, timeout_s: float) -> None:
-        """Open connections to a replica before they are needed."""
+        """Open connections to a replica in advance."""
         await asyncio.gather(*(self.health(address, timeout_s) for _ in range(connections)))
 
 
@@ -180,9 +180,9 @@
     connections: int, counters: counters_module.Counters
 ) -> abc.AsyncIterator[Client]:
     """
-    Hold the connections to one service's replicas for the length of the block.
+    Provide a client of one service's replicas; closes its connections at the end of the block.
 
-    :param connections: the most to any one replica
+    :param connections: maximum number of connections to each replica
     """
     trace = aiohttp.TraceConfig()
 
--- a/src/turmericlug/query/admission.py
+++ b/src/turmericlug/query/admission.py
@@ -10,23 +10,23 @@
 
 from turmericlug.owner import policy
 
-_WAIT_VALID_S = 0.3
-_MOST_WAITS = 10000
+_WAIT_MAX_AGE_S = 0.3
+_MAX_WAITS = 10000
 
 
 @attrs.define
 class TokenBucket:
-    """A rate limit; each instance takes its share of the rule's rate."""
+    """A rate limit; each instance takes its instance_rate of the rule's rate."""
 
     rate_per_s: float
     tokens: float
-    filled_at_s: float
+    refilled_at_s: float
 
     def take(self, now_s: float) -> float:
         """Take a token; returns the seconds until there is one, 0 if it was taken."""
         burst = max(1.0, self.rate_per_s)
-        self.tokens = min(burst, self.tokens + (now_s - self.filled_at_s) * self.rate_per_s)
-        self.filled_at_s = now_s
+        self.tokens = min(burst, self.tokens + (now_s - self.refilled_at_s) * self.rate_per_s)
+        self.refilled_at_s = now_s
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             return 0.0
@@ -41,13 +41,13 @@
         self._waits: dict[tuple[str, int, str], tuple[float, float]] = {}
         self._buckets: dict[tuple[str, float], TokenBucket] = {}
 
-    def note_wait(self, service: str, priority: int, caller: str, wait_ms: float) -> None:
+    def record_wait(self, service: str, priority: int, caller: str, wait_ms: float) -> None:
         """Take an owner's word on how long a new part would wait."""
-        if len(self._waits) > _MOST_WAITS:
+        if len(self._waits) > _MAX_WAITS:
             self._waits.clear()
         self._waits[service, priority, caller] = (wait_ms, time.monotonic())
 
-    def refusal_ms(
+    def overload_retry_after_ms(
         self, services: tuple[str, ...], priority: int, caller: str, remaining_ms: float
     ) -> int:
         """
@@ -56,22 +56,22 @@
         :returns: when to come back, 0 to go ahead
         """
         now_s = time.monotonic()
-        worst_ms = 0.0
+        longest_wait_ms = 0.0
         for service in services:
-            wait_ms, at_s = self._waits.get((service, priority, caller), (0.0, 0.0))
-            if now_s - at_s < _WAIT_VALID_S:
-                worst_ms = max(worst_ms, wait_ms)
-        if self._rng.random() < policy.refuse_share(worst_ms, 0.0, remaining_ms):
-            return policy.come_back_ms(worst_ms, self._rng)
+            wait_ms, recorded_at_s = self._waits.get((service, priority, caller), (0.0, 0.0))
+            if now_s - recorded_at_s < _WAIT_MAX_AGE_S:
+                longest_wait_ms = max(longest_wait_ms, wait_ms)
+        if self._rng.random() < policy.refusal_probability(longest_wait_ms, 0.0, remaining_ms):
+            return policy.retry_after_ms(longest_wait_ms, self._rng)
         return 0
 
-    def over_rate_ms(self, rule: str, rate_per_s: float, instances: int) -> int:
+    def rate_limit_retry_after_ms(self, rule: str, rate_per_s: float, instances: int) -> int:
         """Count a query against a rule's rate; returns when to come back, 0 to go ahead."""
-        share = rate_per_s / max(instances, 1)
+        instance_rate = rate_per_s / max(instances, 1)
         now_s = time.monotonic()
-        bucket = self._buckets.get((rule, share))
+        bucket = self._buckets.get((rule, instance_rate))
         if bucket is None:
             self._buckets = {key: each for key, each in self._buckets.items() if key[0] != rule}
-            bucket = TokenBucket(share, 1.0, now_s)
-            self._buckets[rule, share] = bucket
+            bucket = TokenBucket(instance_rate, 1.0, now_s)
+            self._buckets[rule, instance_rate] = bucket
         return math.ceil(bucket.take(now_s) * 1000)
--- a/src/turmericlug/query/callers_http.py
+++ b/src/turmericlug/query/callers_http.py
@@ -30,7 +30,7 @@
 PRIORITY = "Turmericlug-Priority"
 IDEMPOTENCY_KEY = "Idempotency-Key"
 MOVE_TO = "Turmericlug-Move-To"
-_FIELDS = {
+_QUERY_FIELDS = {
     "service",
     "body",
     "caller",
@@ -40,9 +40,9 @@
     "repeatable",
     "idempotency_key",
 }
-_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._@-]{0,63}\Z")
-_MOST_HEADERS_BYTES = 8190
-_MOST_ADDRESSES = 16
+_CALLER_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._@-]{0,63}\Z")
+_MAX_LINE_BYTES = 8190
+_MAX_ADDRESSES = 16
 
 
 class BadRequestError(Exception):
@@ -72,12 +72,12 @@
         self._coordinator = coordinator
         self._counters = counters
         self._rng = random.Random(settings.instance.name)
-        self._shielded = tasks.Tasks()
+        self._shielded_tasks = tasks.Tasks()
 
     def application(self) -> web.Application:
         """Build the routes."""
         limit = self._settings.limits.max_body_bytes
-        application = web.Application(client_max_size=limit, middlewares=[self._errors])
+        application = web.Application(client_max_size=limit, middlewares=[self._convert_errors])
         application.router.add_post("/v1/query", self._query)
         application.router.add_get("/v1/addresses", self._addresses)
         application.router.add_get("/v1/live", self._live)
@@ -85,7 +85,7 @@
         return application
 
     @web.middleware
-    async def _errors(
+    async def _convert_errors(
         self,
         request: web.Request,
         handler: abc.Callable[[web.Request], abc.Awaitable[web.StreamResponse]],
@@ -93,26 +93,26 @@
         try:
             return await handler(request)
         except BadRequestError as error:
-            return self._rejected(error.status, error.reason, error.detail)
+            return self._reject(error.status, error.reason, error.detail)
         except web.HTTPRequestEntityTooLarge:
             limit = self._settings.limits.max_body_bytes
-            return self._rejected(413, "too_large", f"the body has more than {limit} bytes")
+            return self._reject(413, "too_large", f"the body has more than {limit} bytes")
         except web.HTTPException as error:
-            return self._rejected(error.status, f"http_{error.status}", error.reason)
+            return self._reject(error.status, f"http_{error.status}", error.reason)
 
-    def _rejected(self, status: int, reason: str, detail: str) -> web.Response:
+    def _reject(self, status: int, reason: str, detail: str) -> web.Response:
         self._counters.add(f"query.bad_request.{reason}")
         text = {"outcome": "rejected", "ran": "no", "reason": reason, "detail": detail}
         return web.json_response(text, status=status)
 
     async def _query(self, request: web.Request) -> web.StreamResponse:
-        query = self._checked(request, await request.read())
+        query = self._parse_query(request, await request.read())
         query_id = self._coordinator.new_id()
         work = self._coordinator.run(query, query_id)
         if query.idempotency_key:
-            # A caller that hangs up cancels its query, but not one that may run only once: its
+            # A caller that hangs up cancels its query, but not one that may run only runs_once: its
             # outcome has to be recorded for the repeat that follows.
-            outcome = await asyncio.shield(self._shielded.start(work))
+            outcome = await asyncio.shield(self._shielded_tasks.start(work))
         else:
             outcome = await work
         return self._response(outcome, query_id)
@@ -123,10 +123,10 @@
             status = 429 if outcome.reason == "rate_limit" else 503
         elif isinstance(outcome, outcome_module.Failed):
             status = 504
-        come_back_ms = getattr(outcome, "come_back_ms", 0)
-        if come_back_ms:
-            headers["Retry-After"] = str(math.ceil(come_back_ms / 1000))
-        move_to = self._move_to()
+        retry_after_ms = getattr(outcome, "come_back_ms", 0)
+        if retry_after_ms:
+            headers["Retry-After"] = str(math.ceil(retry_after_ms / 1000))
+        move_to = self._move_to_address()
         if move_to:
             headers[MOVE_TO] = move_to
         text = outcome_module.to_json(outcome, self._settings.instance.name, query_id)
@@ -134,22 +134,22 @@
             text=text, status=status, headers=headers, content_type="application/json"
         )
 
-    def _move_to(self) -> str:
+    def _move_to_address(self) -> str:
         """Name another entry to callers of a leaving instance; empty if they may stay."""
         if self._members.own.state != members_module.LEAVING:
             return ""
-        entries = self._entries()
+        entries = self._ranked_entries()
         return f"{entries[0].host}:{entries[0].callers_port}" if entries else ""
 
-    def _checked(self, request: web.Request, raw: bytes) -> coordinator_module.Query:
+    def _parse_query(self, request: web.Request, raw: bytes) -> coordinator_module.Query:
         """
         Turn a request into a query.
 
         :raises BadRequestError: on the first thing that is wrong; nothing runs then
         """
-        plain = _parsed(raw)
+        plain = _parse_object(raw)
         headers = request.headers
-        key = _text(plain, "idempotency_key", headers.get(IDEMPOTENCY_KEY, ""))
+        key = _read_string(plain, "idempotency_key", headers.get(IDEMPOTENCY_KEY, ""))
         repeatable = plain.get("repeatable", not key)
         if not isinstance(repeatable, bool):
             raise BadRequestError("malformed", "repeatable must be true or false")
@@ -158,32 +158,32 @@
         if not key and not repeatable:
             detail = f"what may not be repeated needs an idempotency key ({IDEMPOTENCY_KEY})"
             raise BadRequestError("idempotency_key_missing", detail)
-        service = self._service(plain, bool(key))
-        deadline_ms = self._deadline_ms(plain, headers.get(DEADLINE_MS))
-        priority = _whole(plain.get("priority", headers.get(PRIORITY)), "priority")
+        service = self._read_service(plain, bool(key))
+        deadline_ms = self._read_deadline_ms(plain, headers.get(DEADLINE_MS))
+        priority = _read_integer(plain.get("priority", headers.get(PRIORITY)), "priority")
         if priority is not None and not 0 <= priority <= model.MAX_PRIORITY:
             raise BadRequestError("malformed", f"priority must be 0 to {model.MAX_PRIORITY}")
         return coordinator_module.Query(
             service=service,
             body=json.dumps(plain.get("body", {}), separators=(",", ":")).encode(),
-            caller=_name(_text(plain, "caller", headers.get(CALLER, "")), "caller"),
-            data_centre=_text(plain, "data_centre", headers.get(DATA_CENTRE, "")),
+            caller=_check_name(_read_string(plain, "caller", headers.get(CALLER, "")), "caller"),
+            data_centre=_read_string(plain, "data_centre", headers.get(DATA_CENTRE, "")),
             deadline_ms=deadline_ms,
             priority=priority,
             headers={name.lower(): value for name, value in headers.items()},
             repeatable=repeatable,
             idempotency_key=key,
-            key_created_at_s=self._created_at_s(key) if key else 0,
+            key_created_at_s=self._key_created_at_s(key) if key else 0,
         )
 
-    def _created_at_s(self, key: str) -> int:
+    def _key_created_at_s(self, key: str) -> int:
         try:
             return records_module.created_at_s(key, self._settings.policy.record_retention_s)
         except records_module.InvalidKeyError as error:
             detail = "a key is <unix second of its making>-<name of your choice>, and lately made"
             raise BadRequestError(str(error), detail) from error
 
-    def _service(self, plain: dict[str, typing.Any], once: bool) -> str:
+    def _read_service(self, plain: dict[str, typing.Any], runs_once: bool) -> str:
         name = plain.get("service")
         if not isinstance(name, str) or not name:
             raise BadRequestError("malformed", "service must name a service or a group")
@@ -192,14 +192,14 @@
         if not members and self._config.freshness.is_current():
             raise BadRequestError("unknown_service", f"no service or group {name!r}", 404)
         shards = sum(len(catalog.snapshots[-1].of(each)) for each in members if catalog.snapshots)
-        if once and shards > 1:
+        if runs_once and shards > 1:
             detail = f"{name} has {shards} shards; a request that runs once goes to one"
             raise BadRequestError("several_shards", detail)
         return name
 
-    def _deadline_ms(self, plain: dict[str, typing.Any], header: str | None) -> int:
+    def _read_deadline_ms(self, plain: dict[str, typing.Any], header: str | None) -> int:
         limits = self._settings.limits
-        deadline_ms = _whole(plain.get("deadline_ms", header), "deadline_ms")
+        deadline_ms = _read_integer(plain.get("deadline_ms", header), "deadline_ms")
         if deadline_ms is None:
             return limits.default_deadline_ms
         if deadline_ms <= 0:
@@ -209,12 +209,12 @@
             raise BadRequestError("deadline_too_long", detail)
         return deadline_ms
 
-    def _entries(self) -> list[members_module.Member]:
+    def _ranked_entries(self) -> list[members_module.Member]:
         """Rank the entries by load, leaving and suspected ones left out."""
         alive = [each for each in self._members.serving() if each.state == members_module.ALIVE]
-        return sorted(alive, key=self._draw, reverse=True)
+        return sorted(alive, key=self._draw_rank, reverse=True)
 
-    def _draw(self, member: members_module.Member) -> float:
+    def _draw_rank(self, member: members_module.Member) -> float:
         """
         Draw a place in a weighted shuffle: the less load, the likelier to come first.
 
@@ -226,9 +226,9 @@
 
     async def _addresses(self, request: web.Request) -> web.Response:
         centre = request.query.get("data_centre", "")
-        entries = self._entries()
+        entries = self._ranked_entries()
         entries.sort(key=lambda each: each.data_centre != centre)
-        entries = entries[:_MOST_ADDRESSES]
+        entries = entries[:_MAX_ADDRESSES]
         addresses = [
             {
                 "instance": each.instance,
@@ -253,37 +253,37 @@
 
     async def finish(self) -> None:
         """Wait for the requests that outlive their callers."""
-        await self._shielded.finish()
+        await self._shielded_tasks.finish()
 
 
-def _parsed(raw: bytes) -> dict[str, typing.Any]:
+def _parse_object(raw: bytes) -> dict[str, typing.Any]:
     try:
         plain = json.loads(raw)
     except (ValueError, RecursionError) as error:
         raise BadRequestError("malformed", f"the body is not JSON: {error}") from error
     if not isinstance(plain, dict):
         raise BadRequestError("malformed", "the body must be a JSON object")
-    unknown = sorted(set(plain) - _FIELDS)
+    unknown = sorted(set(plain) - _QUERY_FIELDS)
     if unknown:
         raise BadRequestError("malformed", f"unknown field {unknown[0]!r}")
     return plain
 
 
-def _text(plain: dict[str, typing.Any], key: str, default: str) -> str:
+def _read_string(plain: dict[str, typing.Any], key: str, default: str) -> str:
     value = plain.get(key, default)
     if not isinstance(value, str):
         raise BadRequestError("malformed", f"{key} must be a text")
     return value
 
 
-def _name(value: str, key: str) -> str:
-    if not _NAME.match(value):
+def _check_name(value: str, key: str) -> str:
+    if not _CALLER_NAME.match(value):
         detail = f"{key} must be 1 to 64 letters, digits, '.', '_', '@' or '-' ({CALLER})"
         raise BadRequestError("caller_missing", detail)
     return value
 
 
-def _whole(value: typing.Any, key: str) -> int | None:
+def _read_integer(value: typing.Any, key: str) -> int | None:
     if value is None:
         return None
     if isinstance(value, str) and re.fullmatch(r"-?[0-9]{1,9}", value):
@@ -303,7 +303,7 @@
         access_log=None,
         handler_cancellation=True,
         shutdown_timeout=1.0,
-        max_line_size=_MOST_HEADERS_BYTES,
+        max_line_size=_MAX_LINE_BYTES,
     )
     await runner.setup()
     try:
--- a/src/turmericlug/query/coordinator.py
+++ b/src/turmericlug/query/coordinator.py
@@ -28,8 +28,8 @@
 
 _ANSWER_MARGIN_S = 0.004
 """Kept back from the deadline for merging and for the way to the caller."""
-_STEP_ASIDE_MS = 500
-_LINES_PER_S = 10
+_NOT_CURRENT_RETRY_AFTER_MS = 500
+_LOG_LINES_PER_S = 10
 """Log lines of one kind of outcome in a second."""
 
 
@@ -70,32 +70,32 @@
         self._rng = random.Random(settings.instance.name)
         self._admission = admission_module.Admission(self._rng)
         self._id_prefix = f"{settings.instance.name}-{secrets.token_hex(4)}"
-        self._numbers = itertools.count(1)
+        self._query_numbers = itertools.count(1)
         self._running: dict[str, int] = {}
-        self._ended = asyncio.Event()
-        self._limiter = events.Limiter(_LINES_PER_S)
-        self._settling = tasks.Tasks()
+        self._query_ended = asyncio.Event()
+        self._log_limiter = events.Limiter(_LOG_LINES_PER_S)
+        self._settle_tasks = tasks.Tasks()
 
     @property
     def running(self) -> int:
         """How many queries are under way."""
-        return len(self._running) + len(self._settling)
+        return len(self._running) + len(self._settle_tasks)
 
     def new_id(self) -> str:
         """Make the identifier of a query, unique among all instances and restarts."""
-        return f"{self._id_prefix}-{next(self._numbers)}"
+        return f"{self._id_prefix}-{next(self._query_numbers)}"
 
     async def older_ended(self, revision: int, timeout_s: float) -> bool:
         """Wait until no query that began under an older rules revision is under way."""
         end_s = time.monotonic() + timeout_s
         while any(each < revision for each in self._running.values()):
-            left_s = end_s - time.monotonic()
-            if left_s <= 0:
+            remaining_s = end_s - time.monotonic()
+            if remaining_s <= 0:
                 return False
-            self._ended.clear()
+            self._query_ended.clear()
             try:
-                async with asyncio.timeout(left_s):
-                    await self._ended.wait()
+                async with asyncio.timeout(remaining_s):
+                    await self._query_ended.wait()
             except TimeoutError:
                 return False
         return True
@@ -110,10 +110,10 @@
         began_at_s = time.monotonic()
         self._running[query_id] = self._config.rules.revision
         try:
-            outcome = await self._decide(query, query_id, began_at_s)
+            outcome = await self._process(query, query_id, began_at_s)
         finally:
             del self._running[query_id]
-            self._ended.set()
+            self._query_ended.set()
         self._counters.time_ms("query.total_ms", (time.monotonic() - began_at_s) * 1000)
         name = outcome_module.name_of(outcome)
         reason = "" if isinstance(outcome, outcome_module.Answer) else f".{outcome.reason}"
@@ -126,7 +126,7 @@
         reasons = [getattr(outcome, "reason", "")]
         if isinstance(outcome, outcome_module.Answer):
             reasons = sorted({missing.reason for missing in outcome.coverage.missing})
-        self._limiter.emit(
+        self._log_limiter.emit(
             f"query.{outcome_module.name_of(outcome)}",
             request=query_id,
             service=query.service,
@@ -135,13 +135,15 @@
             reason=", ".join(reasons),
         )
 
-    async def _decide(
+    async def _process(
         self, query: Query, query_id: str, began_at_s: float
     ) -> outcome_module.Outcome:
         if not self._config.freshness.is_current():
             # The others may have accepted new rules without us; answering by the old ones would
             # take the acceptance back.
-            return outcome_module.Refused("not_current", self._spread_ms(_STEP_ASIDE_MS))
+            return outcome_module.Refused(
+                "not_current", self._jitter_ms(_NOT_CURRENT_RETRY_AFTER_MS)
+            )
         treatment = self._config.rules.match(
             model.Request(
                 query.service,
@@ -151,7 +153,7 @@
                 query.headers,
             )
         )
-        refusal = self._refusal(query, treatment)
+        refusal = self._check_admission(query, treatment)
         if refusal is not None:
             return refusal
         deadline_ms = min(query.deadline_ms, treatment.deadline_ms or query.deadline_ms)
@@ -159,40 +161,44 @@
         if deadline_s <= time.monotonic():
             # Sent all the same, the parts would be late for certain and might yet run.
             return outcome_module.Refused(
-                "no_time", self._spread_ms(1), self._config.rules.revision, treatment.rule
+                "no_time", self._jitter_ms(1), self._config.rules.revision, treatment.rule
             )
         if query.idempotency_key:
-            return await self._run_once(query, treatment, query_id, deadline_s)
+            return await self._run_at_most_once(query, treatment, query_id, deadline_s)
         return await self._run_parts(query, treatment, query_id, began_at_s, deadline_s)
 
-    def _refusal(self, query: Query, treatment: model.Treatment) -> outcome_module.Refused | None:
+    def _check_admission(
+        self, query: Query, treatment: model.Treatment
+    ) -> outcome_module.Refused | None:
         """Check everything that turns a query away before anything is started."""
         revision, rule = self._config.rules.revision, treatment.rule
 
-        def refused(reason: str, come_back_ms: int) -> outcome_module.Refused:
-            return outcome_module.Refused(reason, come_back_ms, revision, rule)
+        def refused(reason: str, retry_after_ms: int) -> outcome_module.Refused:
+            return outcome_module.Refused(reason, retry_after_ms, revision, rule)
 
         if treatment.refuse:
-            return refused(f"rule_{treatment.refuse}", self._spread_ms(treatment.come_back_ms))
+            return refused(f"rule_{treatment.refuse}", self._jitter_ms(treatment.come_back_ms))
         if len(self._running) > self._settings.limits.max_queries:
-            return refused("instance_busy", self._spread_ms(100))
+            return refused("instance_busy", self._jitter_ms(100))
         if not self._config.catalog.snapshots:
-            return refused("no_snapshot", self._spread_ms(1000))
+            return refused("no_snapshot", self._jitter_ms(1000))
         services = self._config.catalog.members_of(query.service)
         if not services:
-            return refused("unknown_service", self._spread_ms(1000))
+            return refused("unknown_service", self._jitter_ms(1000))
         if treatment.rate_per_s is not None:
             instances = len(self._mesh.members.serving())
-            wait_ms = self._admission.over_rate_ms(rule, treatment.rate_per_s, instances)
+            wait_ms = self._admission.rate_limit_retry_after_ms(
+                rule, treatment.rate_per_s, instances
+            )
             if wait_ms:
                 return refused("rate_limit", wait_ms)
         deadline_ms = min(query.deadline_ms, treatment.deadline_ms or query.deadline_ms)
-        wait_ms = self._admission.refusal_ms(
+        wait_ms = self._admission.overload_retry_after_ms(
             services, self._priority(query, treatment), query.caller, deadline_ms
         )
         return refused("overloaded", wait_ms) if wait_ms else None
 
-    def _spread_ms(self, base_ms: int) -> int:
+    def _jitter_ms(self, base_ms: int) -> int:
         """Spread returning callers, so that they don't come back as one wave."""
         return int(base_ms * self._rng.uniform(0.75, 1.5)) + 1
 
@@ -207,11 +213,11 @@
         treatment: model.Treatment,
         query_id: str,
         deadline_s: float,
-        other_than: str = "",
+        excluded_snapshot: str = "",
     ) -> fan_out_module.Plan | None:
         """Pin the newest snapshot and lay out its shards; ``None`` if there is no other one."""
         catalog = self._config.catalog
-        snapshots = [each for each in catalog.snapshots if each.name != other_than]
+        snapshots = [each for each in catalog.snapshots if each.name != excluded_snapshot]
         if not snapshots:
             return None
         snapshot = snapshots[-1]
@@ -220,7 +226,7 @@
             for service in catalog.members_of(query.service)
             for shard in snapshot.of(service)
         )
-        terms = submission.Terms(
+        parameters = submission.QueryParameters(
             query_id=query_id,
             caller=query.caller,
             priority=self._priority(query, treatment),
@@ -229,7 +235,7 @@
             retries=treatment.retries,
             body=query.body,
         )
-        return fan_out_module.Plan(terms, snapshot, parts, treatment.min_coverage, deadline_s)
+        return fan_out_module.Plan(parameters, snapshot, parts, treatment.min_coverage, deadline_s)
 
     async def _run_parts(
         self,
@@ -241,20 +247,20 @@
     ) -> outcome_module.Outcome:
         """Fan out, and once more on another snapshot if the pinned one is gone."""
         plan = self._plan(query, treatment, query_id, deadline_s)
-        assert plan is not None  # there is a snapshot, _refusal saw it
+        assert plan is not None  # there is a snapshot, _check_admission saw it
         answer_by_s = None
         if treatment.prefer == model.PREFER_LATENCY and treatment.answer_by_ms is not None:
             answer_by_s = began_at_s + treatment.answer_by_ms / 1000 - _ANSWER_MARGIN_S
         fan_out = await self._fan_out(plan, answer_by_s)
         if fan_out.snapshot_absent and time.monotonic() < deadline_s:
             other = self._plan(
-                query, treatment, f"{query_id}r", deadline_s, other_than=plan.snapshot.name
+                query, treatment, f"{query_id}r", deadline_s, excluded_snapshot=plan.snapshot.name
             )
             if other is not None and (query.repeatable or fan_out.nothing_ran):
                 self._counters.add("query.restarted")
                 plan = other
                 fan_out = await self._fan_out(plan, answer_by_s)
-        return self._conclude(plan, treatment, fan_out)
+        return self._make_outcome(plan, treatment, fan_out)
 
     async def _fan_out(
         self, plan: fan_out_module.Plan, answer_by_s: float | None
@@ -264,15 +270,15 @@
             self._owner,
             self._mesh,
             self._counters,
-            lambda service, wait_ms: self._admission.note_wait(
-                service, plan.terms.priority, plan.terms.caller, wait_ms
+            lambda service, wait_ms: self._admission.record_wait(
+                service, plan.parameters.priority, plan.parameters.caller, wait_ms
             ),
         )
         try:
             fan_out.start()
             if answer_by_s is not None and answer_by_s < plan.deadline_s:
                 await fan_out.wait(answer_by_s)
-                if not fan_out.enough:
+                if not fan_out.min_coverage_reached:
                     await fan_out.wait(plan.deadline_s)
             else:
                 await fan_out.wait(plan.deadline_s)
@@ -281,7 +287,7 @@
             fan_out.stop()
         return fan_out
 
-    def _conclude(
+    def _make_outcome(
         self,
         plan: fan_out_module.Plan,
         treatment: model.Treatment,
@@ -289,18 +295,18 @@
     ) -> outcome_module.Outcome:
         revision, rule = self._config.rules.revision, treatment.rule
         coverage = fan_out.coverage()
-        if coverage.answered and fan_out.enough:
+        if coverage.answered and fan_out.min_coverage_reached:
             results = fan_out.results()
             return outcome_module.Answer(plan.snapshot.name, coverage, results, revision, rule)
         if fan_out.nothing_ran:
-            come_back_ms = fan_out.come_back_ms or self._spread_ms(100)
-            return outcome_module.Refused(fan_out.first_reason(), come_back_ms, revision, rule)
+            retry_after_ms = fan_out.retry_after_ms or self._jitter_ms(100)
+            return outcome_module.Refused(fan_out.first_reason(), retry_after_ms, revision, rule)
         reason = "coverage_too_low" if coverage.answered else fan_out.first_reason()
         return outcome_module.Failed(
-            reason, revision, rule, coverage, fan_out.come_back_ms or self._spread_ms(100)
+            reason, revision, rule, coverage, fan_out.retry_after_ms or self._jitter_ms(100)
         )
 
-    async def _run_once(
+    async def _run_at_most_once(
         self, query: Query, treatment: model.Treatment, query_id: str, deadline_s: float
     ) -> outcome_module.Outcome:
         """
@@ -319,16 +325,16 @@
         )
         verdict = await self._records.ask(claim, (deadline_s - time.monotonic()) * 0.6)
         if verdict.outcome == ledger.SETTLED:
-            return _recorded(verdict.detail, revision, rule)
+            return _decode_recorded(verdict.detail, revision, rule)
         if verdict.outcome == ledger.OPEN:
             return outcome_module.Failed(
-                "key_in_use", revision, rule, come_back_ms=self._spread_ms(500)
+                "key_in_use", revision, rule, come_back_ms=self._jitter_ms(500)
             )
         if verdict.outcome != ledger.GRANTED:
             if verdict.outcome == ledger.UNAVAILABLE:
                 self._settle(attrs.evolve(claim, operation=ledger.RELEASE))
             return outcome_module.Refused(
-                f"key_{verdict.outcome}", self._spread_ms(1000), revision, rule
+                f"key_{verdict.outcome}", self._jitter_ms(1000), revision, rule
             )
         # Should this task end here, with the caller gone or the instance lost, the claim stays
         # open: whether the request ran is unknown, and an open claim says just that.
@@ -347,10 +353,10 @@
 
     def _settle(self, operation: ledger.Operation) -> None:
         """Record how a claim ended, while the caller already has its answer."""
-        self._settling.start(self._records.settle(operation))
+        self._settle_tasks.start(self._records.settle(operation))
 
 
-def _recorded(text: str, revision: int, rule: str) -> outcome_module.Answer:
+def _decode_recorded(text: str, revision: int, rule: str) -> outcome_module.Answer:
     """Make the answer of a key's first run again."""
     plain = json.loads(text)
     results = [(shard, body.encode()) for shard, body in plain["results"]]
--- a/src/turmericlug/query/fan_out.py
+++ b/src/turmericlug/query/fan_out.py
@@ -18,18 +18,18 @@
 from turmericlug.telemetry import counters as counters_module
 from turmericlug.wire import link as link_module
 
-_MOVE_ON = ("owner_leaving", "resumed_after_gap", "no_replica")
+_NEXT_OWNER_REASONS = ("owner_leaving", "resumed_after_gap", "no_replica")
 """Refusals that speak of the owner, not of the service: the next owner may do better."""
-MOST_SENDS = 6
-_SEND_AGAIN_S = 0.025
-ABSENT = "snapshot_absent"
+MAX_SUBMISSIONS = 6
+_RESUBMIT_DELAY_S = 0.025
+SNAPSHOT_ABSENT = "snapshot_absent"
 
 
 @attrs.frozen
 class Plan:
     """What a query asks of the owners."""
 
-    terms: submission.Terms
+    parameters: submission.QueryParameters
     snapshot: catalog_module.Snapshot
     parts: tuple[tuple[str, str], ...]
     """Service and shard of each part."""
@@ -43,14 +43,14 @@
     service: str
     shard: str
     tried: set[str] = attrs.field(factory=set)
-    sends: int = 0
+    submissions: int = 0
     answered: bytes | None = None
     reason: str = ""
-    holders: int = 0
+    unresolved_owners: int = 0
     """Owners that got the part and have not said that they did not run it."""
 
 
-OnWait = abc.Callable[[str, float], None]
+OnWaitPredicted = abc.Callable[[str, float], None]
 
 
 class FanOut:
@@ -62,43 +62,43 @@
         owner: owner_module.Owner,
         mesh: mesh_module.Mesh,
         counters: counters_module.Counters,
-        on_wait: OnWait,
+        on_wait_predicted: OnWaitPredicted,
     ) -> None:
         self._plan = plan
         self._owner = owner
         self._mesh = mesh
         self._counters = counters
-        self._on_wait = on_wait
+        self._on_wait_predicted = on_wait_predicted
         self._parts = [_Part(service, shard) for service, shard in plan.parts]
         self._open = set(range(len(self._parts)))
         # Counted as replies come: adding up 500 parts at each of 500 replies took most of a
         # coordinator's time.
-        self._answered = 0
-        self._some_absent = False
-        self._cancels: list[abc.Callable[[], None]] = []
+        self._answered_count = 0
+        self._snapshot_absent = False
+        self._cancel_callbacks: list[abc.Callable[[], None]] = []
         self._changed = asyncio.Event()
         self._stopped = False
-        self.come_back_ms = 0
+        self.retry_after_ms = 0
 
     def start(self) -> None:
         """Send every part to the owner of its service: one message per owner."""
-        self._send(sorted(self._open))
+        self._submit(sorted(self._open))
 
-    def _send(self, numbers: list[int]) -> None:
+    def _submit(self, numbers: list[int]) -> None:
         by_owner: dict[str, list[int]] = {}
         for number in numbers:
             owner = self._next_owner(self._parts[number])
             if owner is not None:
                 by_owner.setdefault(owner, []).append(number)
-            elif self._parts[number].sends < MOST_SENDS:
-                asyncio.get_running_loop().call_later(_SEND_AGAIN_S, self._send_again, number)
+            elif self._parts[number].submissions < MAX_SUBMISSIONS:
+                asyncio.get_running_loop().call_later(_RESUBMIT_DELAY_S, self._resubmit, number)
             else:
-                self._close(number, self._parts[number].reason or "no_owner")
-        for instance, theirs in by_owner.items():
+                self._close_part(number, self._parts[number].reason or "no_owner")
+        for instance, owner_numbers in by_owner.items():
             if instance == self._mesh.members.own.instance:
-                self._send_own(theirs)
+                self._submit_locally(owner_numbers)
             else:
-                self._send_peer(instance, theirs)
+                self._submit_to_peer(instance, owner_numbers)
         self._changed.set()
 
     def _next_owner(self, part: _Part) -> str | None:
@@ -108,96 +108,97 @@
         Told apart by name, not by place: the ranking itself changes when an instance leaves, and
         a place counted in the old one would skip the new owner.
         """
-        if part.sends >= MOST_SENDS:
+        if part.submissions >= MAX_SUBMISSIONS:
             return None
         for member in self._owner.ranking(part.service):
             if member.instance not in part.tried:
                 part.tried.add(member.instance)
-                part.sends += 1
+                part.submissions += 1
                 return member.instance
         return None
 
-    def _send_again(self, number: int) -> None:
+    def _resubmit(self, number: int) -> None:
         """Begin with the first owner again, as when links are being made anew."""
         if number in self._open and not self._stopped:
             self._parts[number].tried.clear()
-            self._parts[number].sends += 1
-            self._send([number])
+            self._parts[number].submissions += 1
+            self._submit([number])
 
-    def _send_own(self, numbers: list[int]) -> None:
+    def _submit_locally(self, numbers: list[int]) -> None:
         for number in numbers:
-            self._parts[number].holders += 1
-        cancel = self._owner.submit(self._parts_in(numbers), self._on_replies)
-        self._cancels.append(cancel)
+            self._parts[number].unresolved_owners += 1
+        cancel = self._owner.submit(self._parts_request(numbers), self._on_replies)
+        self._cancel_callbacks.append(cancel)
 
-    def _parts_in(self, numbers: list[int]) -> submission.PartsIn:
+    def _parts_request(self, numbers: list[int]) -> submission.PartsRequest:
         plan = self._plan
-        return submission.PartsIn(
-            plan.terms,
+        return submission.PartsRequest(
+            plan.parameters,
             plan.snapshot.name,
             plan.deadline_s - time.monotonic(),
             tuple((number, *plan.parts[number]) for number in numbers),
         )
 
-    def _send_peer(self, instance: str, numbers: list[int]) -> None:
+    def _submit_to_peer(self, instance: str, numbers: list[int]) -> None:
         link = self._mesh.link(instance)
         # A silent owner may be frozen: new parts go to the next one until it speaks again.
-        if link is None or not link.is_up or (link.silent and self._plan.terms.repeatable):
-            self._move_on(numbers, "owner_unreachable")
+        if link is None or not link.is_up or (link.silent and self._plan.parameters.repeatable):
+            self._send_to_next_owner(numbers, "owner_unreachable")
             return
-        waiting = set(numbers)
+        unanswered = set(numbers)
 
         def on_reply(message: typing.Any) -> bool:
             if isinstance(message, link_module.Silent | link_module.Lost):
-                self._on_note(message, waiting)
+                self._on_link_note(message, unanswered)
                 return isinstance(message, link_module.Lost)
-            self._on_message(message, waiting)
-            return not waiting
+            self._on_message(message, unanswered)
+            return not unanswered
 
         try:
             request_id = link.send(
-                lambda envelope: submission.fill(envelope, self._parts_in(numbers)), on_reply
+                lambda envelope: submission.fill_parts(envelope, self._parts_request(numbers)),
+                on_reply,
             )
         except link_module.LinkError:
-            self._move_on(numbers, "owner_unreachable")
+            self._send_to_next_owner(numbers, "owner_unreachable")
             return
         for number in numbers:
-            self._parts[number].holders += 1
-        self._cancels.append(lambda: link.cancel(request_id))
+            self._parts[number].unresolved_owners += 1
+        self._cancel_callbacks.append(lambda: link.cancel(request_id))
 
-    def _on_note(self, note: link_module.Note, waiting: set[int]) -> None:
+    def _on_link_note(self, note: link_module.Note, unanswered: set[int]) -> None:
         """
         Move what a frozen or lost owner still has to the next one, where repeating is safe.
 
         A part that may run only once stays: it may be running there, and its outcome is unknown.
         """
-        open_numbers = sorted(waiting & self._open)
-        if self._plan.terms.repeatable:
-            waiting.clear()
+        open_numbers = sorted(unanswered & self._open)
+        if self._plan.parameters.repeatable:
+            unanswered.clear()
             if open_numbers:
                 self._counters.add("query.moved_parts", len(open_numbers))
-                self._move_on(open_numbers, "owner_lost")
+                self._send_to_next_owner(open_numbers, "owner_lost")
         elif isinstance(note, link_module.Lost):
             for number in open_numbers:
-                self._close(number, "owner_lost")
+                self._close_part(number, "owner_lost")
         self._changed.set()
 
-    def _move_on(self, numbers: list[int], reason: str) -> None:
+    def _send_to_next_owner(self, numbers: list[int], reason: str) -> None:
         for number in numbers:
             self._parts[number].reason = reason
-        self._send(numbers)
+        self._submit(numbers)
 
-    def _on_message(self, message: typing.Any, waiting: set[int]) -> None:
+    def _on_message(self, message: typing.Any, unanswered: set[int]) -> None:
         if (
             message.which() != "partsReply"
-            or message.partsReply.queryId != self._plan.terms.query_id
+            or message.partsReply.queryId != self._plan.parameters.query_id
         ):
             self._counters.add("query.mismatched_reply")
             return
         replies = []
         for item in message.partsReply.replies:
-            if item.number in waiting:
-                waiting.discard(item.number)
+            if item.number in unanswered:
+                unanswered.discard(item.number)
                 replies.append(
                     part_module.PartReply(
                         item.number,
@@ -213,74 +214,74 @@
         self._on_replies(replies)
 
     def _on_replies(self, replies: list[part_module.PartReply]) -> None:
-        moving = []
+        to_next_owner = []
         for reply in replies:
             if reply.number not in self._open:
                 continue
             part = self._parts[reply.number]
-            self._on_wait(part.service, reply.wait_ms)
+            self._on_wait_predicted(part.service, reply.wait_ms)
             if reply.outcome == part_module.ANSWERED:
-                self._take_answer(reply, part)
+                self._accept_answer(reply, part)
             elif reply.outcome == part_module.FAILED:
-                self._close(reply.number, reply.reason)
+                self._close_part(reply.number, reply.reason)
             else:
-                part.holders -= 1
-                if reply.reason in _MOVE_ON:
-                    moving.append(reply.number)
+                part.unresolved_owners -= 1
+                if reply.reason in _NEXT_OWNER_REASONS:
+                    to_next_owner.append(reply.number)
                 else:
-                    self.come_back_ms = max(self.come_back_ms, reply.come_back_ms)
-                    self._close(reply.number, reply.reason)
-        if moving:
-            self._move_on(moving, "no_owner")
+                    self.retry_after_ms = max(self.retry_after_ms, reply.retry_after_ms)
+                    self._close_part(reply.number, reply.reason)
+        if to_next_owner:
+            self._send_to_next_owner(to_next_owner, "no_owner")
         self._changed.set()
 
-    def _take_answer(self, reply: part_module.PartReply, part: _Part) -> None:
+    def _accept_answer(self, reply: part_module.PartReply, part: _Part) -> None:
         # An owner that mixes up snapshots would make an answer of two versions of the indexes.
         if reply.snapshot != self._plan.snapshot.name:
             self._counters.add("query.mismatched_reply")
-            self._close(reply.number, "wrong_snapshot")
+            self._close_part(reply.number, "wrong_snapshot")
             return
         part.answered = reply.body
-        self._answered += 1
+        self._answered_count += 1
         self._open.discard(reply.number)
 
-    def _close(self, number: int, reason: str) -> None:
+    def _close_part(self, number: int, reason: str) -> None:
         self._open.discard(number)
         self._parts[number].reason = reason
-        self._some_absent = self._some_absent or reason == ABSENT
+        self._snapshot_absent = self._snapshot_absent or reason == SNAPSHOT_ABSENT
 
     @property
-    def hopeless(self) -> bool:
+    def min_coverage_unreachable(self) -> bool:
         """Whether the least coverage can't be reached any more."""
-        possible = self._answered + len(self._open)
-        return not possible or possible < self._plan.min_coverage * len(self._parts) - 1e-9
+        max_answered = self._answered_count + len(self._open)
+        return not max_answered or max_answered < self._plan.min_coverage * len(self._parts) - 1e-9
 
     @property
-    def enough(self) -> bool:
+    def min_coverage_reached(self) -> bool:
         """Whether what has answered satisfies the least coverage."""
-        return self._answered >= self._plan.min_coverage * len(self._parts) - 1e-9
+        return self._answered_count >= self._plan.min_coverage * len(self._parts) - 1e-9
 
     @property
     def snapshot_absent(self) -> bool:
         """Whether some part found that no replica holds the pinned snapshot."""
-        return self._some_absent
+        return self._snapshot_absent
 
     @property
     def nothing_ran(self) -> bool:
         """Whether it is certain that no target ran any part."""
         return not self._open and all(
-            not part.holders and part.answered is None for part in self._parts
+            not part.unresolved_owners and part.answered is None for part in self._parts
         )
 
     async def wait(self, until_s: float) -> None:
-        """Wait until all parts have ended, the query is hopeless, or a time has come."""
-        while self._open and not self.hopeless and not self.snapshot_absent:
+        """Wait until all parts have ended, the query is min_coverage_unreachable, or a time has come."""
+        while self._open and not self.min_coverage_unreachable and not self.snapshot_absent:
             self._changed.clear()
-            left_s = until_s - time.monotonic()
-            if left_s <= 0:
+            remaining_s = until_s - time.monotonic()
+            if remaining_s <= 0:
                 return
             try:
-                async with asyncio.timeout(left_s):
+                async with asyncio.timeout(remaining_s):
                     await self._changed.wait()
             except TimeoutError:
                 return
@@ -288,7 +289,7 @@
     def stop(self) -> None:
         """Cancel what is still open, at the owners and through them at the targets."""
         self._stopped = True
-        for cancel in self._cancels:
+        for cancel in self._cancel_callbacks:
             cancel()
 
     def coverage(self) -> outcome_module.Coverage:
--- a/src/turmericlug/query/outcome.py
+++ b/src/turmericlug/query/outcome.py
@@ -80,7 +80,7 @@
 
 def to_json(outcome: Outcome, instance: str, query_id: str) -> str:
     """Write an outcome as callers get it; results are passed on as the targets wrote them."""
-    head: dict[str, typing.Any] = {
+    fields: dict[str, typing.Any] = {
         "outcome": name_of(outcome),
         "query_id": query_id,
         "instance": instance,
@@ -89,17 +89,17 @@
     }
     match outcome:
         case Answer():
-            head["snapshot"] = outcome.snapshot
-            head["coverage"] = _coverage(outcome.coverage)
+            fields["snapshot"] = outcome.snapshot
+            fields["coverage"] = _coverage_fields(outcome.coverage)
         case Refused():
-            head |= {"ran": "no", "reason": outcome.reason, "come_back_ms": outcome.come_back_ms}
+            fields |= {"ran": "no", "reason": outcome.reason, "come_back_ms": outcome.come_back_ms}
         case Failed():
-            head |= {"ran": "maybe", "reason": outcome.reason}
+            fields |= {"ran": "maybe", "reason": outcome.reason}
             if outcome.come_back_ms:
-                head["come_back_ms"] = outcome.come_back_ms
+                fields["come_back_ms"] = outcome.come_back_ms
             if outcome.coverage is not None:
-                head["coverage"] = _coverage(outcome.coverage)
-    text = json.dumps(head)
+                fields["coverage"] = _coverage_fields(outcome.coverage)
+    text = json.dumps(fields)
     if isinstance(outcome, Answer):
         rows = ", ".join(
             f'{{"shard": {json.dumps(shard)}, "result": {body.decode()}}}'
@@ -109,7 +109,7 @@
     return text
 
 
-def _coverage(coverage: Coverage) -> dict[str, typing.Any]:
+def _coverage_fields(coverage: Coverage) -> dict[str, typing.Any]:
     return {
         "answered": coverage.answered,
         "total": coverage.total,
--- a/tests/mutants_daemon.py
+++ b/tests/mutants_daemon.py
@@ -10,9 +10,9 @@
         "src/turmericlug/owner/service_queue.py",
         (
             (
-                "case target.SnapshotAbsent():\n                self._again(part)",
+                "case target.SnapshotAbsent():\n                self._requeue(part)",
                 "case target.SnapshotAbsent():\n                part.snapshot = "
-                '"s2" if part.snapshot == "s1" else "s1"\n                self._again(part)',
+                '"s2" if part.snapshot == "s1" else "s1"\n                self._requeue(part)',
             ),
             ("snapshot=outcome.snapshot,", 'snapshot="s1",'),
         ),
@@ -35,8 +35,8 @@
     mutant.one(
         "lost-owner-not-replaced",
         "query/fan_out.py",
-        "        if self._plan.terms.repeatable:\n            waiting.clear()",
-        "        if not self._plan.terms.query_id:\n            waiting.clear()",
+        "        if self._plan.parameters.repeatable:\n            unanswered.clear()",
+        "        if not self._plan.parameters.query_id:\n            unanswered.clear()",
         "integration/test_own_answer.py::test_owner_dies_and_comes_back",
     ),
     mutant.one(
@@ -135,7 +135,7 @@
     mutant.one(
         "no-ejection",
         "owner/replica.py",
-        "if self.failures < enough or not may_eject:",
+        "if self.failures < threshold or not may_eject:",
         "if self.failures >= 0:",
         "integration/test_leaving_target.py::test_crashed_target",
     ),
@@ -212,16 +212,18 @@
     mutant.one(
         "no-admission",
         "owner/service_queue.py",
-        "elif not policy.admits((part.deadline_s - now_s) * 1000, wait_ms, self.times.mean_ms):",
+        "elif not policy.fits_deadline(\n"
+        "            (part.deadline_s - now_s) * 1000, wait_ms, self.durations.mean_ms\n"
+        "        ):",
         "elif not part.shard:",
         "owner/test_service_queue.py::test_refused_at_once_when_it_cannot_finish",
     ),
     mutant.one(
         "hedge-behind-new-parts",
         "owner/service_queue.py",
-        "        self._start_late(now_s)\n        while len(self._queue):",
+        "        self._start_hedges(now_s)\n        while len(self._queue):",
         "        while len(self._queue):",
-        "owner/test_service_queue.py::test_waiting_hedge_goes_before_new_parts",
+        "owner/test_service_queue.py::test_pending_hedge_starts_before_queued_parts",
     ),
     mutant.one(
         "retry-what-ends-targets",
@@ -229,6 +231,6 @@
         "        if verdict is poison.Verdict.QUARANTINED:\n"
         "            return part_module.FAILED\n",
         "        return ''\n",
-        "owner/test_service_queue.py::test_a_request_that_ends_targets_goes_to_no_further_one",
+        "owner/test_service_queue.py::test_a_request_that_crashes_targets_is_sent_to_no_other_target",
     ),
 )
--- a/tests/owner/test_fair_queue.py
+++ b/tests/owner/test_fair_queue.py
@@ -15,36 +15,36 @@
     done: bool = False
 
 
-def order(items):
+def served_order(items):
     queue = fair_queue.FairQueue()
     for item in items:
         queue.push(item)
     return queue.drain()
 
 
-def test_priority_then_turns_then_deadline():
+def test_order_is_priority_then_round_robin_then_deadline():
     storm = [Item("storm", 5, 1.0 + number) for number in range(5)]
     calm = Item("calm", 5, 9.0)
-    urgent = Item("late", 8, 50.0)
-    found = order([storm[1], storm[0], *storm[2:], calm, urgent])
-    assert found[0] is urgent
-    assert found.index(calm) <= 2
-    assert [item for item in found if item.caller == "storm"] == storm
+    urgent = Item("urgent", 8, 50.0)
+    served = served_order([storm[1], storm[0], *storm[2:], calm, urgent])
+    assert served[0] is urgent
+    assert served.index(calm) <= 2
+    assert [item for item in served if item.caller == "storm"] == storm
 
 
-def test_done_items_are_dropped():
+def test_items_that_are_done_are_dropped():
     items = [Item("a", 5, 1.0), Item("a", 5, 2.0, done=True)]
-    assert order(items) == items[:1]
+    assert served_order(items) == items[:1]
 
 
-def test_a_storm_is_not_ahead_of_others():
+def test_a_retry_storm_is_not_counted_ahead_of_other_callers():
     queue = fair_queue.FairQueue()
     for number in range(100):
         queue.push(Item("storm", 5, float(number)))
-    assert queue.ahead_of(5, "storm") == 100
-    assert queue.ahead_of(5, "calm") == 1
-    assert queue.ahead_of(6, "calm") == 0
-    assert queue.ahead_of(4, "calm") == 100
+    assert queue.count_ahead_of(5, "storm") == 100
+    assert queue.count_ahead_of(5, "calm") == 1
+    assert queue.count_ahead_of(6, "calm") == 0
+    assert queue.count_ahead_of(4, "calm") == 100
 
 
 @hypothesis.given(
@@ -54,9 +54,9 @@
         )
     )
 )
-def test_nothing_is_lost(entries):
+def test_every_item_is_served_once_in_order_of_priority(entries):
     items = [Item(*entry) for entry in entries]
-    found = order(items)
-    assert sorted(map(id, found)) == sorted(map(id, items))
-    priorities = [item.priority for item in found]
+    served = served_order(items)
+    assert sorted(map(id, served)) == sorted(map(id, items))
+    priorities = [item.priority for item in served]
     assert priorities == sorted(priorities, reverse=True)
--- a/tests/owner/test_policy.py
+++ b/tests/owner/test_policy.py
@@ -25,22 +25,24 @@
 
 
 @pytest.mark.parametrize(
-    ("remaining_ms", "wait_ms", "admitted"), [(30, 20, True), (29, 20, False), (10, 0, True)]
+    ("remaining_ms", "wait_ms", "fits"), [(30, 20, True), (29, 20, False), (10, 0, True)]
 )
-def test_admits(remaining_ms, wait_ms, admitted):
-    assert policy.admits(remaining_ms, wait_ms, 10) is admitted
+def test_fits_deadline(remaining_ms, wait_ms, fits):
+    assert policy.fits_deadline(remaining_ms, wait_ms, 10) is fits
 
 
 @pytest.mark.parametrize(
-    ("wait_ms", "remaining_ms", "share"),
+    ("wait_ms", "remaining_ms", "probability"),
     [(0, 100, 0), (10, 100, 0), (22.5, 100, 0.5), (35, 100, 1), (0, 0, 1)],
 )
-def test_refuse_share(wait_ms, remaining_ms, share):
-    assert policy.refuse_share(wait_ms, 0, remaining_ms) == pytest.approx(share, abs=0.01)
+def test_refusal_probability(wait_ms, remaining_ms, probability):
+    assert policy.refusal_probability(wait_ms, 0, remaining_ms) == pytest.approx(
+        probability, abs=0.01
+    )
 
 
 @pytest.mark.parametrize(
-    ("loads", "chosen"),
+    ("loads", "selected"),
     [
         ([Load(2, 2), Load(2, 2)], None),
         ([Load(1, 2), Load(0, 2)], 1),
@@ -50,54 +52,54 @@
         ([Load(0, 2, suspected=True), Load(2, 2)], 0),
     ],
 )
-def test_choose(loads, chosen):
-    found = policy.choose(loads)
-    assert found is (None if chosen is None else loads[chosen])
+def test_least_loaded(loads, selected):
+    found = policy.least_loaded(loads)
+    assert found is (None if selected is None else loads[selected])
 
 
-def test_budget_keeps_to_its_share():
-    budget = policy.Budget(0.05)
-    spent = 0
+def test_budget_allows_its_share_of_extra_attempts():
+    budget = policy.TokenBudget(0.05)
+    allowed = 0
     for _ in range(10000):
-        budget.earn()
-        spent += budget.spend()
-    assert 490 <= spent <= 502
+        budget.deposit()
+        allowed += budget.try_spend()
+    assert 490 <= allowed <= 502
 
 
-def test_budget_of_zero_allows_nothing():
-    budget = policy.Budget(0.0)
-    assert not budget.spend()
+def test_budget_with_a_share_of_zero_allows_nothing():
+    budget = policy.TokenBudget(0.0)
+    assert not budget.try_spend()
 
 
-def test_hedge_clock_balances_at_one_in_six():
-    clock, rng = policy.HedgeClock(), random.Random(1)
+def test_hedge_delay_falls_while_hedges_win_and_rises_while_they_lose():
+    delay, rng = policy.HedgeDelay(), random.Random(1)
     for _ in range(1000):
-        clock.learn(won=rng.random() < 0.5)
-    assert clock.factor < 1.2
+        delay.record_result(won=rng.random() < 0.5)
+    assert delay.factor < 1.2
     for _ in range(1000):
-        clock.learn(won=rng.random() < 0.02)
-    assert clock.factor == clock.most
+        delay.record_result(won=rng.random() < 0.02)
+    assert delay.factor == delay.max_factor
 
 
-def test_come_back_spreads():
+def test_retry_delays_are_spread():
     rng = random.Random(1)
-    times = [policy.come_back_ms(100, rng) for _ in range(1000)]
-    assert min(times) >= 50 and max(times) <= 151
-    assert len(set(times)) > 80
+    delays_ms = [policy.retry_after_ms(100, rng) for _ in range(1000)]
+    assert min(delays_ms) >= 50 and max(delays_ms) <= 151
+    assert len(set(delays_ms)) > 80
 
 
-def test_percentile_needs_enough_times():
-    times = policy.DurationWindow()
+def test_percentile_needs_twenty_durations():
+    window = policy.DurationWindow()
     for number in range(19):
-        times.add(number)
-    assert times.percentile_ms(95) is None
+        window.add(number)
+    assert window.percentile_ms(95) is None
     for number in range(200):
-        times.add(number)
-    assert 180 <= times.percentile_ms(95) <= 195
+        window.add(number)
+    assert 180 <= window.percentile_ms(95) <= 195
 
 
 @pytest.mark.parametrize("limit", [1.0, 1.5, 2.0, 7.0])
-def test_limit_moves_within_bounds(limit):
-    assert policy.lowered_limit(limit) >= 1.0
-    assert limit < policy.raised_limit(limit, 8.0) <= 8.0
-    assert policy.raised_limit(limit, limit) == limit
+def test_concurrency_limit_stays_within_bounds(limit):
+    assert policy.decreased_limit(limit) >= 1.0
+    assert limit < policy.increased_limit(limit, 8.0) <= 8.0
+    assert policy.increased_limit(limit, limit) == limit
--- a/tests/owner/test_choice.py
+++ b/tests/owner/test_selection.py
@@ -1,12 +1,12 @@
-"""Which replicas of a service may take work."""
+"""Selection of the replica that gets the next attempt."""
 
 from __future__ import annotations
 
 import pytest
 
-from turmericlug.owner import choice
 from turmericlug.owner import part as part_module
 from turmericlug.owner import replica as replica_module
+from turmericlug.owner import selection
 
 NOW_S = 100.0
 
@@ -23,31 +23,35 @@
     ("replicas", "names", "slots"),
     [
         pytest.param([], [], 0.0, id="none known"),
-        pytest.param([replica("a"), replica("b")], ["a", "b"], 4.0, id="all sound"),
+        pytest.param([replica("a"), replica("b")], ["a", "b"], 4.0, id="all healthy"),
         pytest.param([replica("a"), ejected("b")], ["a"], 2.0, id="one ejected"),
-        pytest.param([ejected("a"), ejected("b")], ["a", "b"], 4.0, id="all ejected are tried"),
-        pytest.param([replica("a", leaving="draining")], [], 0.0, id="one that leaves, never"),
+        pytest.param([ejected("a"), ejected("b")], ["a", "b"], 4.0, id="all ejected, all eligible"),
+        pytest.param([replica("a", leaving="draining")], [], 0.0, id="a draining one, never"),
     ],
 )
-def test_usable(replicas, names, slots):
-    found = choice.usable(replicas, NOW_S)
-    assert [each.instance for each in found] == names
-    assert choice.slots(replicas, NOW_S) == slots
+def test_eligible_replicas_and_their_slots(replicas, names, slots):
+    selected = selection.eligible(replicas, NOW_S)
+    assert [each.instance for each in selected] == names
+    assert selection.total_slots(replicas, NOW_S) == slots
 
 
 @pytest.mark.parametrize(
-    ("replicas", "tried", "free", "again"),
+    ("replicas", "tried", "untried", "for_retry"),
     [
         pytest.param([replica("a")], set(), "a", None, id="first attempt"),
-        pytest.param([replica("a"), replica("b")], {"a"}, "b", "a", id="another one is left"),
-        pytest.param([replica("a")], {"a"}, None, "a", id="a retry where it was"),
+        pytest.param([replica("a"), replica("b")], {"a"}, "b", "a", id="one is untried"),
+        pytest.param([replica("a")], {"a"}, None, "a", id="retry at the same replica"),
         pytest.param([replica("a", in_flight=2)], set(), None, None, id="no slot is free"),
         pytest.param(
-            [replica("a", absent={"s1": NOW_S - 0.1})], set(), None, None, id="lacks the snapshot"
+            [replica("a", absent_snapshots={"s1": NOW_S - 0.1})],
+            set(),
+            None,
+            None,
+            id="lacks the snapshot",
         ),
     ],
 )
-def test_where_a_part_goes(replicas, tried, free, again):
+def test_selection_for_a_first_attempt_and_for_a_retry(replicas, tried, untried, for_retry):
     part = part_module.Part(
         number=1,
         shard="s",
@@ -63,7 +67,7 @@
         attempt_prefix="q",
     )
     part.tried |= tried
-    chosen = choice.free(replicas, NOW_S, part)
-    assert (chosen.instance if chosen else None) == free
-    chosen = choice.free_again(replicas, NOW_S, part)
-    assert (chosen.instance if chosen else None) == again
+    selected = selection.select_untried(replicas, NOW_S, part)
+    assert (selected.instance if selected else None) == untried
+    selected = selection.select_for_retry(replicas, NOW_S, part)
+    assert (selected.instance if selected else None) == for_retry
--- a/tests/owner/test_service_queue.py
+++ b/tests/owner/test_service_queue.py
@@ -1,4 +1,4 @@
-"""One service's queue against a scripted target: admission, retries, hedges, ejection."""
+"""One service's queue with scripted targets: admission, retries, hedges and ejection."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Targets:
-    """Plays each replica's outcomes in turn, the last one for ever."""
+    """Client that returns each replica's scripted outcomes in order, and repeats the last one."""
 
     def __init__(self, outcomes, delay_s=0.0):
         self.outcomes = {name: list(each) for name, each in outcomes.items()}
@@ -49,16 +49,16 @@
 ANSWER = target.Answered("s1", b"{}")
 
 
-def make_suspects(tell=lambda content: None):
-    return suspects_module.Suspects(counters_module.Counters(), tell, lambda: False)
+def make_suspects(broadcast=lambda content: None):
+    return suspects_module.Suspects(counters_module.Counters(), broadcast, lambda: False)
 
 
-def make(targets, **changes):
+def make_queue(targets, **changes):
     settings = {
         "hedge_budget": 0.5,
         "hedge_percentile": 95.0,
         "retry_budget": 1.0,
-        "most_queued": 100,
+        "max_queued": 100,
         "caller_share": 0.5,
     } | changes
     counters = counters_module.Counters()
@@ -88,9 +88,9 @@
     return part
 
 
-def play(targets, steps, **changes):
+def run_steps(targets, steps, **changes):
     async def main():
-        queue = make(targets, **changes)
+        queue = make_queue(targets, **changes)
         replies = []
         await steps(queue, replies)
         await queue.close()
@@ -99,7 +99,7 @@
     return asyncio.run(main())
 
 
-async def settled(replies, count=1):
+async def wait_for_replies(replies, count=1):
     async with asyncio.timeout(5):
         while len(replies) < count:
             await asyncio.sleep(0.001)
@@ -119,154 +119,158 @@
     ],
 )
 def test_outcomes(script, repeatable, outcome, reason, sent):
-    """What may have run is never called refused, and what may not be repeated is not."""
+    """A part that may have run is never reported as refused, nor retried unless repeatable."""
     targets = Targets({"r0": script})
 
     async def steps(queue, replies):
         submit(queue, replies, repeatable=repeatable)
-        await settled(replies)
+        await wait_for_replies(replies)
 
-    (reply,) = play(targets, steps)
+    (reply,) = run_steps(targets, steps)
     assert (reply.outcome, reply.reason) == (outcome, reason)
     assert len(targets.sent) == sent
 
 
 def test_refused_at_once_when_it_cannot_finish():
     """
-    Four slots, each part takes 50 ms, twenty parts wait: a part with 60 ms to go is refused in
-    the same turn of the event loop, with a time to come back, and never sent.
+    With four slots, 50 ms for each part and twenty parts submitted, a part with 60 ms to its
+    deadline would expire in the queue. It is refused at once with a retry delay and never sent.
     """
     targets = Targets({"r0": [ANSWER], "r1": [ANSWER]}, delay_s=0.05)
 
     async def steps(queue, replies):
         for _ in range(30):
-            queue.times.add(50.0)
+            queue.durations.add(50.0)
         for number in range(20):
             submit(queue, replies, caller=f"c{number % 4}", number=number)
         before = len(replies)
         submit(queue, replies, deadline_ms=60, number=99)
         assert [reply.reason for reply in replies[before:]] == ["no_time"]
-        assert replies[-1].come_back_ms > 0
-        await settled(replies, 21)
+        assert replies[-1].retry_after_ms > 0
+        await wait_for_replies(replies, 21)
 
-    play(targets, steps)
+    run_steps(targets, steps)
     assert not any(attempt.startswith("q99.") for _, attempt in targets.sent)
 
 
 def test_hedge_wins_and_loser_is_cancelled():
-    """A straggling attempt is overtaken by a second one on the other replica, then cancelled."""
+    """A slow attempt is hedged at the other replica, whose answer wins; the first is cancelled."""
     targets = Targets({"r0": [(1.0, ANSWER)], "r1": [ANSWER]})
 
     async def steps(queue, replies):
         for _ in range(30):
-            queue.times.add(5.0)
+            queue.durations.add(5.0)
         queue.replicas["r1"].latency_ms = 9.0
         began_at_s = time.monotonic()
         submit(queue, replies)
-        await settled(replies)
+        await wait_for_replies(replies)
         assert time.monotonic() - began_at_s < 0.9
         await asyncio.sleep(0.01)
 
-    (reply,) = play(targets, steps)
+    (reply,) = run_steps(targets, steps)
     assert reply.attempts == 2
     assert targets.cancelled == ["q0.1"]
 
 
-def test_waiting_hedge_goes_before_new_parts():
-    """All slots of the other replica are busy when a part becomes late: it gets the next one."""
+def test_pending_hedge_starts_before_queued_parts():
+    """
+    A hedge starves if it gets only otherwise unused slots.
+
+    All slots of the other replica are busy when a part becomes late; its hedge gets the next one.
+    """
     slow, quick = (0.5, ANSWER), (0.05, ANSWER)
     targets = Targets({"r0": [slow, slow, ANSWER], "r1": [quick]})
 
     async def steps(queue, replies):
         for _ in range(30):
-            queue.times.add(5.0)
+            queue.durations.add(5.0)
         for number in range(10):
             submit(queue, replies, number=number, caller=f"c{number}")
-        await settled(replies, 10)
+        await wait_for_replies(replies, 10)
 
-    play(targets, steps)
+    run_steps(targets, steps)
     sent = [attempt for address, attempt in targets.sent if address == "r1"]
     hedge = next(index for index, attempt in enumerate(sent) if attempt.endswith(".2"))
     assert hedge <= 3
 
 
-def test_no_hedge_for_what_may_run_once():
+def test_a_part_that_is_not_repeatable_is_not_hedged():
     targets = Targets({"r0": [(0.1, ANSWER)], "r1": [(0.1, ANSWER)]})
 
     async def steps(queue, replies):
         for _ in range(30):
-            queue.times.add(5.0)
+            queue.durations.add(5.0)
         submit(queue, replies, repeatable=False)
-        await settled(replies)
+        await wait_for_replies(replies)
 
-    play(targets, steps)
+    run_steps(targets, steps)
     assert len(targets.sent) == 1
 
 
-def test_failing_replica_is_set_aside_but_not_the_last():
+def test_a_failing_replica_is_ejected_but_not_the_last_one():
     targets = Targets({"r0": [target.Unknown("connection_lost")], "r1": [ANSWER]})
 
     async def steps(queue, replies):
         for number in range(12):
             submit(queue, replies, number=number, retries=3)
-            await settled(replies, number + 1)
+            await wait_for_replies(replies, number + 1)
         assert queue.replicas["r0"].ejections
         assert not queue.replicas["r1"].ejections
-        queue.leave("r1", "draining")
+        queue.mark_leaving("r1", "draining")
         submit(queue, replies, number=99, retries=0)
-        await settled(replies, 13)
+        await wait_for_replies(replies, 13)
         assert replies[-1].outcome == "failed"
 
-    replies = play(targets, steps)
+    replies = run_steps(targets, steps)
     assert {reply.outcome for reply in replies[:12]} == {"answered"}
 
 
-def test_leaving_owner_gives_back_what_never_ran():
+def test_a_draining_owner_refuses_queued_parts_and_finishes_those_in_flight():
     targets = Targets({"r0": [(0.2, ANSWER)]})
 
     async def steps(queue, replies):
         for number in range(5):
             submit(queue, replies, number=number)
-        queue.give_back()
+        queue.return_queued()
         assert [reply.reason for reply in replies] == ["owner_leaving"] * 3
         assert {reply.outcome for reply in replies} == {"refused"}
-        await settled(replies, 5)
+        await wait_for_replies(replies, 5)
 
-    replies = play(targets, steps)
+    replies = run_steps(targets, steps)
     assert [reply.outcome for reply in replies[3:]] == ["answered"] * 2
 
 
-def test_cancelled_part_is_not_sent():
+def test_a_cancelled_part_is_not_sent():
     targets = Targets({"r0": [(0.02, ANSWER)]})
 
     async def steps(queue, replies):
         parts = [submit(queue, replies, number=number) for number in range(4)]
         queue.cancel(parts[3])
         queue.cancel(parts[0])
-        await settled(replies, 2)
+        await wait_for_replies(replies, 2)
         await asyncio.sleep(0.05)
 
-    assert len(play(targets, steps)) == 2
+    assert len(run_steps(targets, steps)) == 2
     assert [attempt for _, attempt in targets.sent] == ["q0.1", "q1.1", "q2.1"]
     assert targets.cancelled == ["q0.1"]
 
 
-def test_stuck_replica_is_found_before_the_deadline():
+def test_a_stuck_replica_is_detected_before_the_deadline():
     """
-    A replica takes requests and never answers, and the hedge budget is as good as spent. Still
-    each part has its answer long before its deadline of ten minutes, from the other replica, and
-    the stuck one is given no more than its slots hold.
+    A replica accepts requests and never answers, and the hedge budget is nearly empty. Parts at
+    that replica could wait until their deadline of ten minutes. They must be answered by the other
+    replica long before, and the stuck one must not get more parts than it has slots.
     """
     targets = Targets({"r0": [(30.0, ANSWER)], "r1": [(0.002, ANSWER)]})
 
     async def steps(queue, replies):
         for _ in range(30):
-            queue.times.add(2.0)
+            queue.durations.add(2.0)
         for number in range(12):
             submit(queue, replies, number=number, deadline_ms=600000)
-        await settled(replies, 12)
+        await wait_for_replies(replies, 12)
 
-    replies = play(targets, steps, hedge_budget=0.01)
+    replies = run_steps(targets, steps, hedge_budget=0.01)
     assert len([address for address, _ in targets.sent if address == "r0"]) <= 2
     assert {reply.outcome for reply in replies} == {"answered"}
 
@@ -274,12 +278,12 @@
 LOST = target.CONNECTION_LOST
 
 
-@pytest.mark.parametrize("refuses", [True, False], ids=["targets end", "links are reset"])
-def test_a_request_that_ends_targets_goes_to_no_further_one(refuses):
+@pytest.mark.parametrize("refuses", [True, False], ids=["targets crash", "connections are reset"])
+def test_a_request_that_crashes_targets_is_sent_to_no_other_target(refuses):
     """
-    A request ends each target that runs it; each broken send is retried at the next target, and its
-    caller asks again and again, until no target is left. After three ends it goes to one target as
-    a trial, and after that to none; where only links were reset, it is retried as before.
+    A request crashes each target that runs it. Every lost attempt is retried at the next target and
+    the caller repeats the request, until no target is left. After three crashes the request goes to
+    one target as a trial, and then to none. If connections are only reset, retries go on as before.
     """
     targets = Targets({f"r{number}": [LOST] for number in range(8)})
     targets.refusing = set(targets.outcomes) if refuses else set()
@@ -287,9 +291,9 @@
     async def steps(queue, replies):
         for number in range(12):
             submit(queue, replies, number=number, retries=1)
-            await settled(replies, number + 1)
+            await wait_for_replies(replies, number + 1)
 
-    replies = play(targets, steps)
+    replies = run_steps(targets, steps)
     assert {reply.outcome for reply in replies} <= {"failed", "refused"}
     assert (len(targets.sent) <= poison.ENDS_TO_SUSPECT + 1) is refuses
     if refuses:
@@ -297,8 +301,8 @@
         assert ended == [("failed", suspects_module.HELD)] * 2
 
 
-def test_an_answered_request_is_cleared_and_goes_on():
-    """The request was beside the one that ends targets: its trial is answered."""
+def test_a_suspected_request_is_allowed_once_its_trial_is_answered():
+    """It was only in flight together with the one that crashes targets; its trial is answered."""
     targets = Targets({"r0": [ANSWER], "r1": [ANSWER]})
     suspects = make_suspects()
     for number in range(3):
@@ -307,15 +311,15 @@
     async def steps(queue, replies):
         for number in range(3):
             submit(queue, replies, number=number)
-            await settled(replies, number + 1)
+            await wait_for_replies(replies, number + 1)
 
-    replies = play(targets, steps, suspects=suspects)
+    replies = run_steps(targets, steps, suspects=suspects)
     assert [reply.outcome for reply in replies] == ["answered"] * 3
     assert suspects.verdict(b"") is poison.Verdict.ALLOWED
 
 
-def test_a_part_beside_a_trial_is_refused():
-    """It has run nowhere, and its caller may come back once the trial is over."""
+def test_a_part_is_refused_while_its_request_is_on_trial():
+    """The part has not run, so its caller may retry it after the trial."""
     targets = Targets({"r0": [ANSWER]}, delay_s=0.05)
     suspects = make_suspects()
     for number in range(3):
@@ -324,37 +328,45 @@
     async def steps(queue, replies):
         submit(queue, replies, number=0)
         submit(queue, replies, number=1)
-        await settled(replies, 2)
+        await wait_for_replies(replies, 2)
 
-    replies = play(targets, steps, suspects=suspects)
+    replies = run_steps(targets, steps, suspects=suspects)
     assert [(each.number, each.outcome) for each in replies] == [(1, "refused"), (0, "answered")]
 
 
-def test_what_one_owner_sees_the_others_know():
-    told = []
-    seeing, hearing = make_suspects(told.append), make_suspects()
+def test_a_request_suspected_at_one_owner_is_suspected_at_its_peers():
+    messages = []
+    suspecting, peer = make_suspects(messages.append), make_suspects()
     for number in range(3):
-        seeing.ended(b"q", f"t{number}", on_trial=False)
-    for content in told:
-        hearing.on_told(content)
-    hearing.on_told(b"damaged")
-    assert hearing.verdict(b"q") is poison.Verdict.SUSPECTED
-
-
-def test_an_answer_at_one_owner_clears_a_request_at_the_others():
-    """Told to the one that suspects it, which tells the others: all of them may know an answer."""
-    told = []
-    seeing, knowing, other = make_suspects(told.append), make_suspects(), make_suspects()
-    knowing.answered(b"q")
+        suspecting.ended(b"q", f"t{number}", on_trial=False)
+    for content in messages:
+        peer.on_told(content)
+    peer.on_told(b"damaged")
+    assert peer.verdict(b"q") is poison.Verdict.SUSPECTED
+
+
+def test_an_answer_at_one_owner_clears_a_request_at_its_peers():
+    """
+    The owner that knows an answer reports it only to the owner that suspects the request.
+
+    That owner broadcasts it: if every owner that knows an answer did, the messages would multiply.
+    """
+    messages = []
+    suspecting, answered_here, other = (
+        make_suspects(messages.append),
+        make_suspects(),
+        make_suspects(),
+    )
+    answered_here.answered(b"q")
     for number in range(3):
-        seeing.ended(b"q", f"t{number}", on_trial=False)
-    for content in told[:]:
+        suspecting.ended(b"q", f"t{number}", on_trial=False)
+    for content in messages[:]:
         other.on_told(content)
     assert other.verdict(b"q") is poison.Verdict.SUSPECTED
-    told_before = len(told)
-    answer = knowing.on_told(told[-1])
-    assert seeing.on_told(answer) is None
-    assert seeing.verdict(b"q") is poison.Verdict.ALLOWED
-    assert len(told) == told_before + 1
-    assert other.on_told(told[-1]) is None
+    count_before = len(messages)
+    answer = answered_here.on_told(messages[-1])
+    assert suspecting.on_told(answer) is None
+    assert suspecting.verdict(b"q") is poison.Verdict.ALLOWED
+    assert len(messages) == count_before + 1
+    assert other.on_told(messages[-1]) is None
     assert other.verdict(b"q") is poison.Verdict.ALLOWED
--- a/tests/query/test_admission.py
+++ b/tests/query/test_admission.py
@@ -11,28 +11,30 @@
     ("wait_ms", "refused"), [(0, (0, 0)), (100, (0, 0)), (225, (400, 600)), (400, (1000, 1000))]
 )
 def test_share_refused_grows_with_the_wait(wait_ms, refused):
-    gate = admission.Admission(random.Random(1))
-    gate.note_wait("a", 5, "c", wait_ms)
-    gate.note_wait("b", 5, "c", 0.0)
-    count = sum(bool(gate.refusal_ms(("a", "b"), 5, "c", 1000)) for _ in range(1000))
+    controller = admission.Admission(random.Random(1))
+    controller.record_wait("a", 5, "c", wait_ms)
+    controller.record_wait("b", 5, "c", 0.0)
+    count = sum(
+        bool(controller.overload_retry_after_ms(("a", "b"), 5, "c", 1000)) for _ in range(1000)
+    )
     assert refused[0] <= count <= refused[1]
 
 
 def test_another_caller_or_priority_is_not_refused():
-    gate = admission.Admission(random.Random(1))
-    gate.note_wait("a", 5, "storm", 900)
-    assert gate.refusal_ms(("a",), 5, "storm", 1000)
-    assert not gate.refusal_ms(("a",), 5, "calm", 1000)
-    assert not gate.refusal_ms(("a",), 6, "storm", 1000)
+    controller = admission.Admission(random.Random(1))
+    controller.record_wait("a", 5, "storm", 900)
+    assert controller.overload_retry_after_ms(("a",), 5, "storm", 1000)
+    assert not controller.overload_retry_after_ms(("a",), 5, "calm", 1000)
+    assert not controller.overload_retry_after_ms(("a",), 6, "storm", 1000)
 
 
 def test_rate_is_shared_among_instances(monkeypatch):
-    gate = admission.Admission(random.Random(1))
+    controller = admission.Admission(random.Random(1))
     now_s = [0.0]
     monkeypatch.setattr(admission.time, "monotonic", lambda: now_s[0])
     passed = 0
     for _ in range(1000):
         now_s[0] += 0.01
-        passed += not gate.over_rate_ms("r", 30.0, 3)
+        passed += not controller.rate_limit_retry_after_ms("r", 30.0, 3)
     assert 98 <= passed <= 111
-    assert 0 < gate.over_rate_ms("r", 30.0, 3) <= 100
+    assert 0 < controller.rate_limit_retry_after_ms("r", 30.0, 3) <= 100
