--- a/src/turmericlug/query/__init__.py
+++ b/src/turmericlug/query/__init__.py
@@ -1,1 +1,1 @@
-"""The caller's side of a query: HTTP, routing to owners, merging, outcomes."""
+"""The caller side of a query: HTTP, fan-out to owners, merging and outcomes."""
--- a/src/turmericlug/query/admission.py
+++ b/src/turmericlug/query/admission.py
@@ -1,4 +1,4 @@
-"""What a coordinator checks before a query starts: overload, rate limits, room of its own."""
+"""Admission checks of a coordinator before a query starts: overload and rate limits."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 from turmericlug.owner import policy
 
 _WAIT_MAX_AGE_S = 0.3
+"""Predicted waits that are older are ignored."""
 _MAX_WAITS = 10000
 
 
 @attrs.define
 class TokenBucket:
-    """A rate limit; each instance takes its instance_rate of the rule's rate."""
+    """A rate limit; each instance applies its share of the rule's rate."""
 
     rate_per_s: float
     tokens: float
     refilled_at_s: float
 
     def take(self, now_s: float) -> float:
-        """Take a token; returns the seconds until there is one, 0 if it was taken."""
+        """Take a token; return 0 if there was one, else the seconds until there is."""
         burst = max(1.0, self.rate_per_s)
         self.tokens = min(burst, self.tokens + (now_s - self.refilled_at_s) * self.rate_per_s)
         self.refilled_at_s = now_s
@@ -34,7 +35,7 @@
 
 
 class Admission:
-    """What owners lately said of their queues, and the rate limits of the rules."""
+    """Queue waits recently reported by owners, and the rate limits of the rules."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -42,7 +43,7 @@
         self._buckets: dict[tuple[str, float], TokenBucket] = {}
 
     def record_wait(self, service: str, priority: int, caller: str, wait_ms: float) -> None:
-        """Take an owner's word on how long a new part would wait."""
+        """Record the wait that an owner predicts for a new part."""
         if len(self._waits) > _MAX_WAITS:
             self._waits.clear()
         self._waits[service, priority, caller] = (wait_ms, time.monotonic())
@@ -51,9 +52,9 @@
         self, services: tuple[str, ...], priority: int, caller: str, remaining_ms: float
     ) -> int:
         """
-        Decide whether owners are too busy for a new query.
+        Decide whether to refuse a new query because its owners are overloaded.
 
-        :returns: when to come back, 0 to go ahead
+        :returns: the delay after which to retry, 0 if the query is admitted
         """
         now_s = time.monotonic()
         longest_wait_ms = 0.0
@@ -66,7 +67,7 @@
         return 0
 
     def rate_limit_retry_after_ms(self, rule: str, rate_per_s: float, instances: int) -> int:
-        """Count a query against a rule's rate; returns when to come back, 0 to go ahead."""
+        """Count a query against a rule's rate; return the retry delay, 0 if it is admitted."""
         instance_rate = rate_per_s / max(instances, 1)
         now_s = time.monotonic()
         bucket = self._buckets.get((rule, instance_rate))
--- a/src/turmericlug/query/callers_http.py
+++ b/src/turmericlug/query/callers_http.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface: queries, entry addresses, liveness and readiness."""
+"""HTTP interface for callers: queries, entry addresses, liveness and readiness."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class BadRequestError(Exception):
-    """A request that can't become a query; ``reason`` is a counter, ``detail`` for people."""
+    """An invalid request; ``reason`` names a counter, ``detail`` is the message for people."""
 
     def __init__(self, reason: str, detail: str, status: int = 400) -> None:
         super().__init__(detail)
@@ -56,7 +56,7 @@
 
 
 class CallersHttp:
-    """Handlers of the callers' port."""
+    """Request handlers of the callers' port."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self._shielded_tasks = tasks.Tasks()
 
     def application(self) -> web.Application:
-        """Build the routes."""
+        """Build the application with its routes."""
         limit = self._settings.limits.max_body_bytes
         application = web.Application(client_max_size=limit, middlewares=[self._convert_errors])
         application.router.add_post("/v1/query", self._query)
@@ -110,8 +110,8 @@
         query_id = self._coordinator.new_id()
         work = self._coordinator.run(query, query_id)
         if query.idempotency_key:
-            # A caller that hangs up cancels its query, but not one that may run only runs_once: its
-            # outcome has to be recorded for the repeat that follows.
+            # A caller that disconnects cancels its query, unless the query runs at most once: its
+            # outcome has to be recorded for the retry that follows.
             outcome = await asyncio.shield(self._shielded_tasks.start(work))
         else:
             outcome = await work
@@ -135,7 +135,7 @@
         )
 
     def _move_to_address(self) -> str:
-        """Name another entry to callers of a leaving instance; empty if they may stay."""
+        """Return another entry for callers of a draining instance, an empty string otherwise."""
         if self._members.own.state != members_module.LEAVING:
             return ""
         entries = self._ranked_entries()
@@ -143,9 +143,9 @@
 
     def _parse_query(self, request: web.Request, raw: bytes) -> coordinator_module.Query:
         """
-        Turn a request into a query.
+        Parse and check a request.
 
-        :raises BadRequestError: on the first thing that is wrong; nothing runs then
+        :raises BadRequestError: on the first error; nothing runs then
         """
         plain = _parse_object(raw)
         headers = request.headers
@@ -154,9 +154,13 @@
         if not isinstance(repeatable, bool):
             raise BadRequestError("malformed", "repeatable must be true or false")
         if key and repeatable:
-            raise BadRequestError("contradiction", "a request with a key is not repeatable")
+            raise BadRequestError(
+                "contradiction", "a request with an idempotency key must not be repeatable"
+            )
         if not key and not repeatable:
-            detail = f"what may not be repeated needs an idempotency key ({IDEMPOTENCY_KEY})"
+            detail = (
+                f"a request that is not repeatable needs an idempotency key ({IDEMPOTENCY_KEY})"
+            )
             raise BadRequestError("idempotency_key_missing", detail)
         service = self._read_service(plain, bool(key))
         deadline_ms = self._read_deadline_ms(plain, headers.get(DEADLINE_MS))
@@ -180,20 +184,20 @@
         try:
             return records_module.created_at_s(key, self._settings.policy.record_retention_s)
         except records_module.InvalidKeyError as error:
-            detail = "a key is <unix second of its making>-<name of your choice>, and lately made"
+            detail = "the idempotency key must be <Unix time in s>-<name> and recently created"
             raise BadRequestError(str(error), detail) from error
 
     def _read_service(self, plain: dict[str, typing.Any], runs_once: bool) -> str:
         name = plain.get("service")
         if not isinstance(name, str) or not name:
-            raise BadRequestError("malformed", "service must name a service or a group")
+            raise BadRequestError("malformed", "service must be the name of a service or group")
         catalog = self._config.catalog
         members = catalog.members_of(name)
         if not members and self._config.freshness.is_current():
             raise BadRequestError("unknown_service", f"no service or group {name!r}", 404)
         shards = sum(len(catalog.snapshots[-1].of(each)) for each in members if catalog.snapshots)
         if runs_once and shards > 1:
-            detail = f"{name} has {shards} shards; a request that runs once goes to one"
+            detail = f"{name} has {shards} shards; a request that runs at most once must have one"
             raise BadRequestError("several_shards", detail)
         return name
 
@@ -205,21 +209,21 @@
         if deadline_ms <= 0:
             raise BadRequestError("deadline_passed", "the deadline has passed")
         if deadline_ms > limits.max_deadline_ms:
-            detail = f"the deadline is above {limits.max_deadline_ms} ms"
+            detail = f"the deadline must be at most {limits.max_deadline_ms} ms"
             raise BadRequestError("deadline_too_long", detail)
         return deadline_ms
 
     def _ranked_entries(self) -> list[members_module.Member]:
-        """Rank the entries by load, leaving and suspected ones left out."""
+        """Return the entries in a shuffle weighted by load; omits draining and suspected ones."""
         alive = [each for each in self._members.serving() if each.state == members_module.ALIVE]
         return sorted(alive, key=self._draw_rank, reverse=True)
 
     def _draw_rank(self, member: members_module.Member) -> float:
         """
-        Draw a place in a weighted shuffle: the less load, the likelier to come first.
+        Draw the sort key of a weighted shuffle: the lower the load, the likelier to come first.
 
-        A plain sort by load sends every caller to the one least loaded instance until its next
-        report; drawn by weight, callers spread and still avoid the loaded ones.
+        A plain sort by load would send every caller to the least loaded instance until its next
+        report. A weighted shuffle spreads the callers and still avoids loaded instances.
         """
         weight = 1000 / (250 + member.load_permille)
         return self._rng.random() ** (1 / weight)
@@ -252,7 +256,7 @@
         return web.json_response(text, status=200 if ready else 503)
 
     async def finish(self) -> None:
-        """Wait for the requests that outlive their callers."""
+        """Wait for at-most-once requests that go on after their caller disconnected."""
         await self._shielded_tasks.finish()
 
 
@@ -272,7 +276,7 @@
 def _read_string(plain: dict[str, typing.Any], key: str, default: str) -> str:
     value = plain.get(key, default)
     if not isinstance(value, str):
-        raise BadRequestError("malformed", f"{key} must be a text")
+        raise BadRequestError("malformed", f"{key} must be a string")
     return value
 
 
@@ -289,7 +293,7 @@
     if isinstance(value, str) and re.fullmatch(r"-?[0-9]{1,9}", value):
         return int(value)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise BadRequestError("malformed", f"{key} must be a whole number")
+        raise BadRequestError("malformed", f"{key} must be an integer")
     return value
 
 
--- a/src/turmericlug/query/coordinator.py
+++ b/src/turmericlug/query/coordinator.py
@@ -1,4 +1,4 @@
-"""The coordinator's role: from a caller's request to its one outcome."""
+"""Coordinator role of a daemon: runs a caller's query to exactly one outcome."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 from turmericlug.telemetry import events
 
 _ANSWER_MARGIN_S = 0.004
-"""Kept back from the deadline for merging and for the way to the caller."""
+"""Reserved before the deadline for merging and for the response to the caller."""
 _NOT_CURRENT_RETRY_AFTER_MS = 500
 _LOG_LINES_PER_S = 10
-"""Log lines of one kind of outcome in a second."""
+"""Limit of log lines per second for each kind of outcome."""
 
 
 @attrs.frozen
 class Query:
-    """A caller's request, checked."""
+    """A valid request of a caller."""
 
     service: str
     body: bytes
@@ -50,7 +50,7 @@
 
 
 class Coordinator:
-    """Runs queries; knows how many are under way, by the rules revision they began under."""
+    """Runs queries and keeps the rules revision under which each query in flight started."""
 
     def __init__(
         self,
@@ -78,15 +78,15 @@
 
     @property
     def running(self) -> int:
-        """How many queries are under way."""
+        """Number of queries in flight and of claims being settled."""
         return len(self._running) + len(self._settle_tasks)
 
     def new_id(self) -> str:
-        """Make the identifier of a query, unique among all instances and restarts."""
+        """Return a query identifier that is unique across instances and restarts."""
         return f"{self._id_prefix}-{next(self._query_numbers)}"
 
     async def older_ended(self, revision: int, timeout_s: float) -> bool:
-        """Wait until no query that began under an older rules revision is under way."""
+        """Wait until no query in flight started under an older rules revision."""
         end_s = time.monotonic() + timeout_s
         while any(each < revision for each in self._running.values()):
             remaining_s = end_s - time.monotonic()
@@ -102,7 +102,7 @@
 
     async def run(self, query: Query, query_id: str) -> outcome_module.Outcome:
         """
-        Answer one query.
+        Run one query.
 
         :param query: the request
         :param query_id: from :meth:`new_id`
@@ -139,8 +139,8 @@
         self, query: Query, query_id: str, began_at_s: float
     ) -> outcome_module.Outcome:
         if not self._config.freshness.is_current():
-            # The others may have accepted new rules without us; answering by the old ones would
-            # take the acceptance back.
+            # The other instances may have accepted new rules without this one; to answer by the
+            # old rules would break that acceptance.
             return outcome_module.Refused(
                 "not_current", self._jitter_ms(_NOT_CURRENT_RETRY_AFTER_MS)
             )
@@ -159,7 +159,7 @@
         deadline_ms = min(query.deadline_ms, treatment.deadline_ms or query.deadline_ms)
         deadline_s = began_at_s + deadline_ms / 1000 - _ANSWER_MARGIN_S
         if deadline_s <= time.monotonic():
-            # Sent all the same, the parts would be late for certain and might yet run.
+            # If the parts were sent, they would miss the deadline for certain and might still run.
             return outcome_module.Refused(
                 "no_time", self._jitter_ms(1), self._config.rules.revision, treatment.rule
             )
@@ -170,7 +170,7 @@
     def _check_admission(
         self, query: Query, treatment: model.Treatment
     ) -> outcome_module.Refused | None:
-        """Check everything that turns a query away before anything is started."""
+        """Return why a query must be refused before any part starts, ``None`` if it is admitted."""
         revision, rule = self._config.rules.revision, treatment.rule
 
         def refused(reason: str, retry_after_ms: int) -> outcome_module.Refused:
@@ -199,7 +199,7 @@
         return refused("overloaded", wait_ms) if wait_ms else None
 
     def _jitter_ms(self, base_ms: int) -> int:
-        """Spread returning callers, so that they don't come back as one wave."""
+        """Add jitter to a retry delay, so that callers don't all retry at the same time."""
         return int(base_ms * self._rng.uniform(0.75, 1.5)) + 1
 
     def _priority(self, query: Query, treatment: model.Treatment) -> int:
@@ -215,7 +215,7 @@
         deadline_s: float,
         excluded_snapshot: str = "",
     ) -> fan_out_module.Plan | None:
-        """Pin the newest snapshot and lay out its shards; ``None`` if there is no other one."""
+        """Plan the parts of a query on the newest snapshot; ``None`` if there is none."""
         catalog = self._config.catalog
         snapshots = [each for each in catalog.snapshots if each.name != excluded_snapshot]
         if not snapshots:
@@ -245,9 +245,9 @@
         began_at_s: float,
         deadline_s: float,
     ) -> outcome_module.Outcome:
-        """Fan out, and once more on another snapshot if the pinned one is gone."""
+        """Fan out the parts, and once more on another snapshot if the pinned one is absent."""
         plan = self._plan(query, treatment, query_id, deadline_s)
-        assert plan is not None  # there is a snapshot, _check_admission saw it
+        assert plan is not None  # _check_admission refuses a query without snapshots
         answer_by_s = None
         if treatment.prefer == model.PREFER_LATENCY and treatment.answer_by_ms is not None:
             answer_by_s = began_at_s + treatment.answer_by_ms / 1000 - _ANSWER_MARGIN_S
@@ -283,7 +283,7 @@
             else:
                 await fan_out.wait(plan.deadline_s)
         finally:
-            # Also when the caller has gone: nobody waits for the parts any more.
+            # Also if the caller has disconnected: the parts are no longer needed.
             fan_out.stop()
         return fan_out
 
@@ -310,10 +310,10 @@
         self, query: Query, treatment: model.Treatment, query_id: str, deadline_s: float
     ) -> outcome_module.Outcome:
         """
-        Run a request at most once per key: claim, run, record the outcome.
+        Run a request at most once per idempotency key: claim the key, run, record the outcome.
 
-        Nothing is sent before the claim is confirmed in the store. A claim without confirmation
-        is never run; it is released, so that a repeat of the key may run.
+        No part is sent before the store has confirmed the claim. Without confirmation the request
+        does not run, and the claim is released so that a retry with the same key may run.
         """
         revision, rule = self._config.rules.revision, treatment.rule
         claim = ledger.Operation(
@@ -336,8 +336,8 @@
             return outcome_module.Refused(
                 f"key_{verdict.outcome}", self._jitter_ms(1000), revision, rule
             )
-        # Should this task end here, with the caller gone or the instance lost, the claim stays
-        # open: whether the request ran is unknown, and an open claim says just that.
+        # If this task ends here, because it is cancelled or the instance is lost, the claim stays
+        # open: an open claim means that it is unknown whether the request ran.
         outcome = await self._run_parts(query, treatment, query_id, time.monotonic(), deadline_s)
         if isinstance(outcome, outcome_module.Refused):
             self._settle(attrs.evolve(claim, operation=ledger.RELEASE))
@@ -352,12 +352,12 @@
         return outcome
 
     def _settle(self, operation: ledger.Operation) -> None:
-        """Record how a claim ended, while the caller already has its answer."""
+        """Record the result of a claim in the background, without delaying the response."""
         self._settle_tasks.start(self._records.settle(operation))
 
 
 def _decode_recorded(text: str, revision: int, rule: str) -> outcome_module.Answer:
-    """Make the answer of a key's first run again."""
+    """Rebuild the answer recorded by the first run of a key."""
     plain = json.loads(text)
     results = [(shard, body.encode()) for shard, body in plain["results"]]
     coverage = outcome_module.Coverage(len(results), len(results), ())
--- a/src/turmericlug/query/fan_out.py
+++ b/src/turmericlug/query/fan_out.py
@@ -1,4 +1,4 @@
-"""One query's parts on their way to the owners and back, merged under one snapshot."""
+"""Fan-out of one query's parts to the owners; the answers are of one snapshot."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from turmericlug.wire import link as link_module
 
 _NEXT_OWNER_REASONS = ("owner_leaving", "resumed_after_gap", "no_replica")
-"""Refusals that speak of the owner, not of the service: the next owner may do better."""
+"""Refusal reasons that concern the owner, not the service: the next owner may accept."""
 MAX_SUBMISSIONS = 6
 _RESUBMIT_DELAY_S = 0.025
 SNAPSHOT_ABSENT = "snapshot_absent"
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Plan:
-    """What a query asks of the owners."""
+    """The parts of a query, and the conditions for its answer."""
 
     parameters: submission.QueryParameters
     snapshot: catalog_module.Snapshot
@@ -47,14 +47,14 @@
     answered: bytes | None = None
     reason: str = ""
     unresolved_owners: int = 0
-    """Owners that got the part and have not said that they did not run it."""
+    """Number of owners that got the part and have not reported that it did not run."""
 
 
 OnWaitPredicted = abc.Callable[[str, float], None]
 
 
 class FanOut:
-    """The state of one query's parts."""
+    """State of the parts of one query."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         self._on_wait_predicted = on_wait_predicted
         self._parts = [_Part(service, shard) for service, shard in plan.parts]
         self._open = set(range(len(self._parts)))
-        # Counted as replies come: adding up 500 parts at each of 500 replies took most of a
+        # Counted per reply: to count over 500 parts at each of 500 replies took most of a
         # coordinator's time.
         self._answered_count = 0
         self._snapshot_absent = False
@@ -81,7 +81,7 @@
         self.retry_after_ms = 0
 
     def start(self) -> None:
-        """Send every part to the owner of its service: one message per owner."""
+        """Submit every part to the owner of its service, with one message per owner."""
         self._submit(sorted(self._open))
 
     def _submit(self, numbers: list[int]) -> None:
@@ -103,10 +103,10 @@
 
     def _next_owner(self, part: _Part) -> str | None:
         """
-        Return the first in rank that has not had this part.
+        Return the first owner in the ranking that has not had this part.
 
-        Told apart by name, not by place: the ranking itself changes when an instance leaves, and
-        a place counted in the old one would skip the new owner.
+        Owners are identified by name, not by position: the ranking changes when an instance leaves,
+        and a position in the old ranking would skip the new owner.
         """
         if part.submissions >= MAX_SUBMISSIONS:
             return None
@@ -118,7 +118,7 @@
         return None
 
     def _resubmit(self, number: int) -> None:
-        """Begin with the first owner again, as when links are being made anew."""
+        """Start again with the first owner, as while links are being re-established."""
         if number in self._open and not self._stopped:
             self._parts[number].tried.clear()
             self._parts[number].submissions += 1
@@ -141,7 +141,7 @@
 
     def _submit_to_peer(self, instance: str, numbers: list[int]) -> None:
         link = self._mesh.link(instance)
-        # A silent owner may be frozen: new parts go to the next one until it speaks again.
+        # A silent owner may be suspended: until it answers, new parts go to the next owner.
         if link is None or not link.is_up or (link.silent and self._plan.parameters.repeatable):
             self._send_to_next_owner(numbers, "owner_unreachable")
             return
@@ -168,9 +168,9 @@
 
     def _on_link_note(self, note: link_module.Note, unanswered: set[int]) -> None:
         """
-        Move what a frozen or lost owner still has to the next one, where repeating is safe.
+        Submit the open parts of a silent or lost owner to the next one, if they are repeatable.
 
-        A part that may run only once stays: it may be running there, and its outcome is unknown.
+        A part that is not repeatable is not moved: it may be running, and its outcome is unknown.
         """
         open_numbers = sorted(unanswered & self._open)
         if self._plan.parameters.repeatable:
@@ -214,7 +214,7 @@
         self._on_replies(replies)
 
     def _on_replies(self, replies: list[part_module.PartReply]) -> None:
-        to_next_owner = []
+        refused_by_owner = []
         for reply in replies:
             if reply.number not in self._open:
                 continue
@@ -227,16 +227,16 @@
             else:
                 part.unresolved_owners -= 1
                 if reply.reason in _NEXT_OWNER_REASONS:
-                    to_next_owner.append(reply.number)
+                    refused_by_owner.append(reply.number)
                 else:
                     self.retry_after_ms = max(self.retry_after_ms, reply.retry_after_ms)
                     self._close_part(reply.number, reply.reason)
-        if to_next_owner:
-            self._send_to_next_owner(to_next_owner, "no_owner")
+        if refused_by_owner:
+            self._send_to_next_owner(refused_by_owner, "no_owner")
         self._changed.set()
 
     def _accept_answer(self, reply: part_module.PartReply, part: _Part) -> None:
-        # An owner that mixes up snapshots would make an answer of two versions of the indexes.
+        # An answer of another snapshot would mix two versions of the indexes in one result.
         if reply.snapshot != self._plan.snapshot.name:
             self._counters.add("query.mismatched_reply")
             self._close_part(reply.number, "wrong_snapshot")
@@ -252,29 +252,29 @@
 
     @property
     def min_coverage_unreachable(self) -> bool:
-        """Whether the least coverage can't be reached any more."""
+        """Whether the minimum coverage can no longer be reached."""
         max_answered = self._answered_count + len(self._open)
         return not max_answered or max_answered < self._plan.min_coverage * len(self._parts) - 1e-9
 
     @property
     def min_coverage_reached(self) -> bool:
-        """Whether what has answered satisfies the least coverage."""
+        """Whether the answered parts reach the minimum coverage."""
         return self._answered_count >= self._plan.min_coverage * len(self._parts) - 1e-9
 
     @property
     def snapshot_absent(self) -> bool:
-        """Whether some part found that no replica holds the pinned snapshot."""
+        """Whether a part was closed because no replica holds the pinned snapshot."""
         return self._snapshot_absent
 
     @property
     def nothing_ran(self) -> bool:
-        """Whether it is certain that no target ran any part."""
+        """Whether it is certain that no part ran at any target."""
         return not self._open and all(
             not part.unresolved_owners and part.answered is None for part in self._parts
         )
 
     async def wait(self, until_s: float) -> None:
-        """Wait until all parts have ended, the query is min_coverage_unreachable, or a time has come."""
+        """Wait until no part is open, the query can't succeed on its snapshot, or ``until_s``."""
         while self._open and not self.min_coverage_unreachable and not self.snapshot_absent:
             self._changed.clear()
             remaining_s = until_s - time.monotonic()
@@ -287,13 +287,13 @@
                 return
 
     def stop(self) -> None:
-        """Cancel what is still open, at the owners and through them at the targets."""
+        """Cancel the open parts at the owners and, through them, at the targets."""
         self._stopped = True
         for cancel in self._cancel_callbacks:
             cancel()
 
     def coverage(self) -> outcome_module.Coverage:
-        """State what answered, and why the rest did not."""
+        """Return how many parts are answered, and why each other one is missing."""
         missing = tuple(
             outcome_module.Missing(part.shard, part.reason if not_open else "late")
             for number, part in enumerate(self._parts)
@@ -304,10 +304,10 @@
         return outcome_module.Coverage(total - len(missing), total, missing)
 
     def results(self) -> list[tuple[str, bytes]]:
-        """Return the answers by shard, in the order of the plan."""
+        """Return the answers with their shards, in the order of the plan."""
         return [(part.shard, part.answered) for part in self._parts if part.answered is not None]
 
     def first_reason(self) -> str:
-        """Return why the first of the missing parts is missing."""
+        """Return the reason of the first missing part."""
         missing = self.coverage().missing
         return missing[0].reason if missing else ""
--- a/src/turmericlug/query/outcome.py
+++ b/src/turmericlug/query/outcome.py
@@ -1,4 +1,4 @@
-"""What a caller is told: every query ends in exactly one of these."""
+"""Outcomes of a query as reported to its caller; every query has exactly one."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class Missing:
-    """A shard without an answer, and why."""
+    """A shard without an answer, and the reason."""
 
     shard: str
     reason: str
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Coverage:
-    """How much of the pinned snapshot answered."""
+    """How many shards of the pinned snapshot answered."""
 
     answered: int
     total: int
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """Results of one snapshot: complete if nothing is missing, else partial."""
+    """Results of one snapshot: complete if no shard is missing, otherwise partial."""
 
     snapshot: str
     coverage: Coverage
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """Nothing ran; ``come_back_ms`` tells when to ask again."""
+    """Nothing ran; ``come_back_ms`` is the delay after which to retry."""
 
     reason: str
     come_back_ms: int
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failed:
-    """The query may have run, in part or whole, and there is no answer."""
+    """The query may have run, in part or in whole, and there is no answer."""
 
     reason: str
     rules_revision: int = 0
@@ -68,7 +68,7 @@
 
 
 def name_of(outcome: Outcome) -> str:
-    """Return the word that callers see."""
+    """Return the name of an outcome as callers see it."""
     match outcome:
         case Answer(coverage=coverage):
             return "partial" if coverage.missing else "complete"
@@ -79,7 +79,7 @@
 
 
 def to_json(outcome: Outcome, instance: str, query_id: str) -> str:
-    """Write an outcome as callers get it; results are passed on as the targets wrote them."""
+    """Encode an outcome for the caller; results are forwarded as the targets wrote them."""
     fields: dict[str, typing.Any] = {
         "outcome": name_of(outcome),
         "query_id": query_id,
