--- a/src/turmericlug/query/coordinator.py
+++ b/src/turmericlug/query/coordinator.py
@@ -215,7 +215,7 @@
         deadline_s: float,
         excluded_snapshot: str = "",
     ) -> fan_out_module.Plan | None:
-        """Plan the parts of a query on the newest snapshot; ``None`` if there is none."""
+        """Plan the parts on the newest snapshot but the excluded one; ``None`` if there is none."""
         catalog = self._config.catalog
         snapshots = [each for each in catalog.snapshots if each.name != excluded_snapshot]
         if not snapshots:
