--- a/src/turmericlug/direct/replicas.py
+++ b/src/turmericlug/direct/replicas.py
@@ -45,7 +45,7 @@
     """Recent latencies of one route's attempts to the replicas of one data centre."""
 
     def __init__(self, default_ms: float) -> None:
-        self._recent = policy.RecentTimes()
+        self._recent = policy.DurationWindow()
         self._default_ms = default_ms
 
     def add(self, duration_ms: float) -> None:
--- a/src/turmericlug/query/admission.py
+++ b/src/turmericlug/query/admission.py
@@ -1,4 +1,4 @@
-"""What a coordinator checks before a query starts: overload, rate limits, room of its own."""
+"""Admission checks of a coordinator before a query starts: overload and rate limits."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 
 from turmericlug.owner import policy
 
-_WAIT_VALID_S = 0.3
-_MOST_WAITS = 10000
+_WAIT_MAX_AGE_S = 0.3
+"""Predicted waits that are older are ignored."""
+_MAX_WAITS = 10000
 
 
 @attrs.define
 class TokenBucket:
-    """A rate limit; each instance takes its share of the rule's rate."""
+    """A rate limit; each instance applies its share of the rule's rate."""
 
     rate_per_s: float
     tokens: float
-    filled_at_s: float
+    refilled_at_s: float
 
     def take(self, now_s: float) -> float:
-        """Take a token; returns the seconds until there is one, 0 if it was taken."""
+        """Take a token; return 0 if there was one, else the seconds until there is."""
         burst = max(1.0, self.rate_per_s)
-        self.tokens = min(burst, self.tokens + (now_s - self.filled_at_s) * self.rate_per_s)
-        self.filled_at_s = now_s
+        self.tokens = min(burst, self.tokens + (now_s - self.refilled_at_s) * self.rate_per_s)
+        self.refilled_at_s = now_s
         if self.tokens >= 1.0:
             self.tokens -= 1.0
             return 0.0
@@ -34,44 +35,44 @@
 
 
 class Admission:
-    """What owners lately said of their queues, and the rate limits of the rules."""
+    """Queue waits recently reported by owners, and the rate limits of the rules."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._waits: dict[tuple[str, int, str], tuple[float, float]] = {}
         self._buckets: dict[tuple[str, float], TokenBucket] = {}
 
-    def note_wait(self, service: str, priority: int, caller: str, wait_ms: float) -> None:
-        """Take an owner's word on how long a new part would wait."""
-        if len(self._waits) > _MOST_WAITS:
+    def record_wait(self, service: str, priority: int, caller: str, wait_ms: float) -> None:
+        """Record the wait that an owner predicts for a new part."""
+        if len(self._waits) > _MAX_WAITS:
             self._waits.clear()
         self._waits[service, priority, caller] = (wait_ms, time.monotonic())
 
-    def refusal_ms(
+    def overload_retry_after_ms(
         self, services: tuple[str, ...], priority: int, caller: str, remaining_ms: float
     ) -> int:
         """
-        Decide whether owners are too busy for a new query.
+        Decide whether to refuse a new query because its owners are overloaded.
 
-        :returns: when to come back, 0 to go ahead
+        :returns: the delay after which to retry, 0 if the query is admitted
         """
         now_s = time.monotonic()
-        worst_ms = 0.0
+        longest_wait_ms = 0.0
         for service in services:
-            wait_ms, at_s = self._waits.get((service, priority, caller), (0.0, 0.0))
-            if now_s - at_s < _WAIT_VALID_S:
-                worst_ms = max(worst_ms, wait_ms)
-        if self._rng.random() < policy.refuse_share(worst_ms, 0.0, remaining_ms):
-            return policy.come_back_ms(worst_ms, self._rng)
+            wait_ms, recorded_at_s = self._waits.get((service, priority, caller), (0.0, 0.0))
+            if now_s - recorded_at_s < _WAIT_MAX_AGE_S:
+                longest_wait_ms = max(longest_wait_ms, wait_ms)
+        if self._rng.random() < policy.refusal_probability(longest_wait_ms, 0.0, remaining_ms):
+            return policy.retry_after_ms(longest_wait_ms, self._rng)
         return 0
 
-    def over_rate_ms(self, rule: str, rate_per_s: float, instances: int) -> int:
-        """Count a query against a rule's rate; returns when to come back, 0 to go ahead."""
-        share = rate_per_s / max(instances, 1)
+    def rate_limit_retry_after_ms(self, rule: str, rate_per_s: float, instances: int) -> int:
+        """Count a query against a rule's rate; return the retry delay, 0 if it is admitted."""
+        instance_rate = rate_per_s / max(instances, 1)
         now_s = time.monotonic()
-        bucket = self._buckets.get((rule, share))
+        bucket = self._buckets.get((rule, instance_rate))
         if bucket is None:
             self._buckets = {key: each for key, each in self._buckets.items() if key[0] != rule}
-            bucket = TokenBucket(share, 1.0, now_s)
-            self._buckets[rule, share] = bucket
+            bucket = TokenBucket(instance_rate, 1.0, now_s)
+            self._buckets[rule, instance_rate] = bucket
         return math.ceil(bucket.take(now_s) * 1000)
--- a/src/turmericlug/query/callers_http.py
+++ b/src/turmericlug/query/callers_http.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface: queries, entry addresses, liveness and readiness."""
+"""HTTP interface for callers: queries, entry addresses, liveness and readiness."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 PRIORITY = "Turmericlug-Priority"
 IDEMPOTENCY_KEY = "Idempotency-Key"
 MOVE_TO = "Turmericlug-Move-To"
-_FIELDS = {
+_QUERY_FIELDS = {
     "service",
     "body",
     "caller",
@@ -40,13 +40,13 @@
     "repeatable",
     "idempotency_key",
 }
-_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._@-]{0,63}\Z")
-_MOST_HEADERS_BYTES = 8190
-_MOST_ADDRESSES = 16
+_CALLER_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._@-]{0,63}\Z")
+_MAX_LINE_BYTES = 8190
+_MAX_ADDRESSES = 16
 
 
 class BadRequestError(Exception):
-    """A request that can't become a query; ``reason`` is a counter, ``detail`` for people."""
+    """An invalid request; ``reason`` names a counter, ``detail`` is the message for people."""
 
     def __init__(self, reason: str, detail: str, status: int = 400) -> None:
         super().__init__(detail)
@@ -56,7 +56,7 @@
 
 
 class CallersHttp:
-    """Handlers of the callers' port."""
+    """Request handlers of the callers' port."""
 
     def __init__(
         self,
@@ -72,12 +72,12 @@
         self._coordinator = coordinator
         self._counters = counters
         self._rng = random.Random(settings.instance.name)
-        self._shielded = tasks.Tasks()
+        self._shielded_tasks = tasks.Tasks()
 
     def application(self) -> web.Application:
-        """Build the routes."""
+        """Build the application with its routes."""
         limit = self._settings.limits.max_body_bytes
-        application = web.Application(client_max_size=limit, middlewares=[self._errors])
+        application = web.Application(client_max_size=limit, middlewares=[self._convert_errors])
         application.router.add_post("/v1/query", self._query)
         application.router.add_get("/v1/addresses", self._addresses)
         application.router.add_get("/v1/live", self._live)
@@ -85,7 +85,7 @@
         return application
 
     @web.middleware
-    async def _errors(
+    async def _convert_errors(
         self,
         request: web.Request,
         handler: abc.Callable[[web.Request], abc.Awaitable[web.StreamResponse]],
@@ -93,26 +93,26 @@
         try:
             return await handler(request)
         except BadRequestError as error:
-            return self._rejected(error.status, error.reason, error.detail)
+            return self._reject(error.status, error.reason, error.detail)
         except web.HTTPRequestEntityTooLarge:
             limit = self._settings.limits.max_body_bytes
-            return self._rejected(413, "too_large", f"the body has more than {limit} bytes")
+            return self._reject(413, "too_large", f"the body has more than {limit} bytes")
         except web.HTTPException as error:
-            return self._rejected(error.status, f"http_{error.status}", error.reason)
+            return self._reject(error.status, f"http_{error.status}", error.reason)
 
-    def _rejected(self, status: int, reason: str, detail: str) -> web.Response:
+    def _reject(self, status: int, reason: str, detail: str) -> web.Response:
         self._counters.add(f"query.bad_request.{reason}")
         text = {"outcome": "rejected", "ran": "no", "reason": reason, "detail": detail}
         return web.json_response(text, status=status)
 
     async def _query(self, request: web.Request) -> web.StreamResponse:
-        query = self._checked(request, await request.read())
+        query = self._parse_query(request, await request.read())
         query_id = self._coordinator.new_id()
         work = self._coordinator.run(query, query_id)
         if query.idempotency_key:
-            # A caller that hangs up cancels its query, but not one that may run only once: its
-            # outcome has to be recorded for the repeat that follows.
-            outcome = await asyncio.shield(self._shielded.start(work))
+            # A caller that disconnects cancels its query, unless the query runs at most once: its
+            # outcome has to be recorded for the retry that follows.
+            outcome = await asyncio.shield(self._shielded_tasks.start(work))
         else:
             outcome = await work
         return self._response(outcome, query_id)
@@ -123,10 +123,10 @@
             status = 429 if outcome.reason == "rate_limit" else 503
         elif isinstance(outcome, outcome_module.Failed):
             status = 504
-        come_back_ms = getattr(outcome, "come_back_ms", 0)
-        if come_back_ms:
-            headers["Retry-After"] = str(math.ceil(come_back_ms / 1000))
-        move_to = self._move_to()
+        retry_after_ms = getattr(outcome, "come_back_ms", 0)
+        if retry_after_ms:
+            headers["Retry-After"] = str(math.ceil(retry_after_ms / 1000))
+        move_to = self._move_to_address()
         if move_to:
             headers[MOVE_TO] = move_to
         text = outcome_module.to_json(outcome, self._settings.instance.name, query_id)
@@ -134,101 +134,105 @@
             text=text, status=status, headers=headers, content_type="application/json"
         )
 
-    def _move_to(self) -> str:
-        """Name another entry to callers of a leaving instance; empty if they may stay."""
+    def _move_to_address(self) -> str:
+        """Return another entry for callers of a draining instance, an empty string otherwise."""
         if self._members.own.state != members_module.LEAVING:
             return ""
-        entries = self._entries()
+        entries = self._ranked_entries()
         return f"{entries[0].host}:{entries[0].callers_port}" if entries else ""
 
-    def _checked(self, request: web.Request, raw: bytes) -> coordinator_module.Query:
+    def _parse_query(self, request: web.Request, raw: bytes) -> coordinator_module.Query:
         """
-        Turn a request into a query.
+        Parse and check a request.
 
-        :raises BadRequestError: on the first thing that is wrong; nothing runs then
+        :raises BadRequestError: on the first error; nothing runs then
         """
-        plain = _parsed(raw)
+        plain = _parse_object(raw)
         headers = request.headers
-        key = _text(plain, "idempotency_key", headers.get(IDEMPOTENCY_KEY, ""))
+        key = _read_string(plain, "idempotency_key", headers.get(IDEMPOTENCY_KEY, ""))
         repeatable = plain.get("repeatable", not key)
         if not isinstance(repeatable, bool):
             raise BadRequestError("malformed", "repeatable must be true or false")
         if key and repeatable:
-            raise BadRequestError("contradiction", "a request with a key is not repeatable")
+            raise BadRequestError(
+                "contradiction", "a request with an idempotency key must not be repeatable"
+            )
         if not key and not repeatable:
-            detail = f"what may not be repeated needs an idempotency key ({IDEMPOTENCY_KEY})"
+            detail = (
+                f"a request that is not repeatable needs an idempotency key ({IDEMPOTENCY_KEY})"
+            )
             raise BadRequestError("idempotency_key_missing", detail)
-        service = self._service(plain, bool(key))
-        deadline_ms = self._deadline_ms(plain, headers.get(DEADLINE_MS))
-        priority = _whole(plain.get("priority", headers.get(PRIORITY)), "priority")
+        service = self._read_service(plain, bool(key))
+        deadline_ms = self._read_deadline_ms(plain, headers.get(DEADLINE_MS))
+        priority = _read_integer(plain.get("priority", headers.get(PRIORITY)), "priority")
         if priority is not None and not 0 <= priority <= model.MAX_PRIORITY:
             raise BadRequestError("malformed", f"priority must be 0 to {model.MAX_PRIORITY}")
         return coordinator_module.Query(
             service=service,
             body=json.dumps(plain.get("body", {}), separators=(",", ":")).encode(),
-            caller=_name(_text(plain, "caller", headers.get(CALLER, "")), "caller"),
-            data_centre=_text(plain, "data_centre", headers.get(DATA_CENTRE, "")),
+            caller=_check_name(_read_string(plain, "caller", headers.get(CALLER, "")), "caller"),
+            data_centre=_read_string(plain, "data_centre", headers.get(DATA_CENTRE, "")),
             deadline_ms=deadline_ms,
             priority=priority,
             headers={name.lower(): value for name, value in headers.items()},
             repeatable=repeatable,
             idempotency_key=key,
-            key_created_at_s=self._created_at_s(key) if key else 0,
+            key_created_at_s=self._key_created_at_s(key) if key else 0,
         )
 
-    def _created_at_s(self, key: str) -> int:
+    def _key_created_at_s(self, key: str) -> int:
         try:
             return records_module.created_at_s(key, self._settings.policy.record_retention_s)
         except records_module.InvalidKeyError as error:
-            detail = "a key is <unix second of its making>-<name of your choice>, and lately made"
+            detail = "the idempotency key must be <Unix time in s>-<name> and recently created"
             raise BadRequestError(str(error), detail) from error
 
-    def _service(self, plain: dict[str, typing.Any], once: bool) -> str:
+    def _read_service(self, plain: dict[str, typing.Any], runs_once: bool) -> str:
         name = plain.get("service")
         if not isinstance(name, str) or not name:
-            raise BadRequestError("malformed", "service must name a service or a group")
+            raise BadRequestError("malformed", "service must be the name of a service or group")
         catalog = self._config.catalog
         members = catalog.members_of(name)
         if not members and self._config.freshness.is_current():
             raise BadRequestError("unknown_service", f"no service or group {name!r}", 404)
         shards = sum(len(catalog.snapshots[-1].of(each)) for each in members if catalog.snapshots)
-        if once and shards > 1:
-            detail = f"{name} has {shards} shards; a request that runs once goes to one"
+        if runs_once and shards > 1:
+            detail = f"{name} has {shards} shards; a request that runs at most once must have one"
             raise BadRequestError("several_shards", detail)
         return name
 
-    def _deadline_ms(self, plain: dict[str, typing.Any], header: str | None) -> int:
+    def _read_deadline_ms(self, plain: dict[str, typing.Any], header: str | None) -> int:
         limits = self._settings.limits
-        deadline_ms = _whole(plain.get("deadline_ms", header), "deadline_ms")
+        deadline_ms = _read_integer(plain.get("deadline_ms", header), "deadline_ms")
         if deadline_ms is None:
             return limits.default_deadline_ms
         if deadline_ms <= 0:
             raise BadRequestError("deadline_passed", "the deadline has passed")
         if deadline_ms > limits.max_deadline_ms:
-            detail = f"the deadline is above {limits.max_deadline_ms} ms"
+            detail = f"the deadline must be at most {limits.max_deadline_ms} ms"
             raise BadRequestError("deadline_too_long", detail)
         return deadline_ms
 
-    def _entries(self) -> list[members_module.Member]:
-        """Rank the entries by load, leaving and suspected ones left out."""
+    def _ranked_entries(self) -> list[members_module.Member]:
+        """Return the entries in a shuffle weighted by load; omits draining and suspected ones."""
         alive = [each for each in self._members.serving() if each.state == members_module.ALIVE]
-        return sorted(alive, key=self._draw, reverse=True)
+        return sorted(alive, key=self._draw_rank, reverse=True)
 
-    def _draw(self, member: members_module.Member) -> float:
+    def _draw_rank(self, member: members_module.Member) -> float:
         """
-        Draw a place in a weighted shuffle: the less load, the likelier to come first.
+        Draw the sort key of a weighted shuffle: the lower the load, the likelier to come first.
 
-        A plain sort by load sends every caller to the one least loaded instance until its next
-        report; drawn by weight, callers spread and still avoid the loaded ones.
+        A plain sort by load would send every caller to the least loaded instance until its next
+        report. A weighted shuffle spreads the callers and still avoids loaded instances.
         """
         weight = 1000 / (250 + member.load_permille)
         return self._rng.random() ** (1 / weight)
 
     async def _addresses(self, request: web.Request) -> web.Response:
         centre = request.query.get("data_centre", "")
-        entries = self._entries()
+        entries = self._ranked_entries()
         entries.sort(key=lambda each: each.data_centre != centre)
-        entries = entries[:_MOST_ADDRESSES]
+        entries = entries[:_MAX_ADDRESSES]
         addresses = [
             {
                 "instance": each.instance,
@@ -252,44 +256,44 @@
         return web.json_response(text, status=200 if ready else 503)
 
     async def finish(self) -> None:
-        """Wait for the requests that outlive their callers."""
-        await self._shielded.finish()
+        """Wait for at-most-once requests that go on after their caller disconnected."""
+        await self._shielded_tasks.finish()
 
 
-def _parsed(raw: bytes) -> dict[str, typing.Any]:
+def _parse_object(raw: bytes) -> dict[str, typing.Any]:
     try:
         plain = json.loads(raw)
     except (ValueError, RecursionError) as error:
         raise BadRequestError("malformed", f"the body is not JSON: {error}") from error
     if not isinstance(plain, dict):
         raise BadRequestError("malformed", "the body must be a JSON object")
-    unknown = sorted(set(plain) - _FIELDS)
+    unknown = sorted(set(plain) - _QUERY_FIELDS)
     if unknown:
         raise BadRequestError("malformed", f"unknown field {unknown[0]!r}")
     return plain
 
 
-def _text(plain: dict[str, typing.Any], key: str, default: str) -> str:
+def _read_string(plain: dict[str, typing.Any], key: str, default: str) -> str:
     value = plain.get(key, default)
     if not isinstance(value, str):
-        raise BadRequestError("malformed", f"{key} must be a text")
+        raise BadRequestError("malformed", f"{key} must be a string")
     return value
 
 
-def _name(value: str, key: str) -> str:
-    if not _NAME.match(value):
+def _check_name(value: str, key: str) -> str:
+    if not _CALLER_NAME.match(value):
         detail = f"{key} must be 1 to 64 letters, digits, '.', '_', '@' or '-' ({CALLER})"
         raise BadRequestError("caller_missing", detail)
     return value
 
 
-def _whole(value: typing.Any, key: str) -> int | None:
+def _read_integer(value: typing.Any, key: str) -> int | None:
     if value is None:
         return None
     if isinstance(value, str) and re.fullmatch(r"-?[0-9]{1,9}", value):
         return int(value)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise BadRequestError("malformed", f"{key} must be a whole number")
+        raise BadRequestError("malformed", f"{key} must be an integer")
     return value
 
 
@@ -303,7 +307,7 @@
         access_log=None,
         handler_cancellation=True,
         shutdown_timeout=1.0,
-        max_line_size=_MOST_HEADERS_BYTES,
+        max_line_size=_MAX_LINE_BYTES,
     )
     await runner.setup()
     try:
--- a/src/turmericlug/query/outcome.py
+++ b/src/turmericlug/query/outcome.py
@@ -1,4 +1,4 @@
-"""What a caller is told: every query ends in exactly one of these."""
+"""Outcomes of a query as reported to its caller; every query has exactly one."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class Missing:
-    """A shard without an answer, and why."""
+    """A shard without an answer, and the reason."""
 
     shard: str
     reason: str
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Coverage:
-    """How much of the pinned snapshot answered."""
+    """How many shards of the pinned snapshot answered."""
 
     answered: int
     total: int
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """Results of one snapshot: complete if nothing is missing, else partial."""
+    """Results of one snapshot: complete if no shard is missing, otherwise partial."""
 
     snapshot: str
     coverage: Coverage
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """Nothing ran; ``come_back_ms`` tells when to ask again."""
+    """Nothing ran; ``come_back_ms`` is the delay after which to retry."""
 
     reason: str
     come_back_ms: int
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failed:
-    """The query may have run, in part or whole, and there is no answer."""
+    """The query may have run, in part or in whole, and there is no answer."""
 
     reason: str
     rules_revision: int = 0
@@ -68,7 +68,7 @@
 
 
 def name_of(outcome: Outcome) -> str:
-    """Return the word that callers see."""
+    """Return the name of an outcome as callers see it."""
     match outcome:
         case Answer(coverage=coverage):
             return "partial" if coverage.missing else "complete"
@@ -79,8 +79,8 @@
 
 
 def to_json(outcome: Outcome, instance: str, query_id: str) -> str:
-    """Write an outcome as callers get it; results are passed on as the targets wrote them."""
-    head: dict[str, typing.Any] = {
+    """Encode an outcome for the caller; results are forwarded as the targets wrote them."""
+    fields: dict[str, typing.Any] = {
         "outcome": name_of(outcome),
         "query_id": query_id,
         "instance": instance,
@@ -89,17 +89,17 @@
     }
     match outcome:
         case Answer():
-            head["snapshot"] = outcome.snapshot
-            head["coverage"] = _coverage(outcome.coverage)
+            fields["snapshot"] = outcome.snapshot
+            fields["coverage"] = _coverage_fields(outcome.coverage)
         case Refused():
-            head |= {"ran": "no", "reason": outcome.reason, "come_back_ms": outcome.come_back_ms}
+            fields |= {"ran": "no", "reason": outcome.reason, "come_back_ms": outcome.come_back_ms}
         case Failed():
-            head |= {"ran": "maybe", "reason": outcome.reason}
+            fields |= {"ran": "maybe", "reason": outcome.reason}
             if outcome.come_back_ms:
-                head["come_back_ms"] = outcome.come_back_ms
+                fields["come_back_ms"] = outcome.come_back_ms
             if outcome.coverage is not None:
-                head["coverage"] = _coverage(outcome.coverage)
-    text = json.dumps(head)
+                fields["coverage"] = _coverage_fields(outcome.coverage)
+    text = json.dumps(fields)
     if isinstance(outcome, Answer):
         rows = ", ".join(
             f'{{"shard": {json.dumps(shard)}, "result": {body.decode()}}}'
@@ -109,7 +109,7 @@
     return text
 
 
-def _coverage(coverage: Coverage) -> dict[str, typing.Any]:
+def _coverage_fields(coverage: Coverage) -> dict[str, typing.Any]:
     return {
         "answered": coverage.answered,
         "total": coverage.total,
