--- a/src/turmericlug/entry/callers.py
+++ b/src/turmericlug/entry/callers.py
@@ -40,7 +40,7 @@
 
 
 @attrs.define
-class Spread:
+class WeightedRoundRobin:
     """Spreads the requests of a route over its services so that each gets its weight's share."""
 
     _counts: dict[tuple[routes.Share, ...], list[float]] = attrs.field(factory=dict)
@@ -80,7 +80,7 @@
         self._refuse_from_s = math.inf
         self._ends_at_s = math.inf
         self._source_age_s = source_age_s
-        self._spread = Spread()
+        self._spread = WeightedRoundRobin()
         self._stated: collections.defaultdict[str, patience.StatedTimes] = collections.defaultdict(
             patience.StatedTimes
         )
--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -30,10 +30,10 @@
 from turmericlug.entry import directory as directory_module
 from turmericlug.entry import follower
 from turmericlug.entry import journal as journal_module
+from turmericlug.entry import listeners
 from turmericlug.entry import live_settings
 from turmericlug.entry import news
 from turmericlug.entry import news_codec
-from turmericlug.entry import questions
 from turmericlug.entry import relay
 from turmericlug.entry import settings as settings_module
 from turmericlug.entry import stalls as stalls_module
@@ -182,7 +182,7 @@
     def make_peer_pool(entry: routes.ReplicaEntry) -> pool_module.Pool:
         connect = functools.partial(client.connect, entry.host, entry.port)
         return pool_module.Pool(
-            connect, lambda: PEER_CONNECTIONS, loop.time, spare_idle_s=questions.PEER_IDLE_S
+            connect, lambda: PEER_CONNECTIONS, loop.time, spare_idle_s=listeners.PEER_IDLE_S
         )
 
     live = kernel.find("live settings")
@@ -291,7 +291,7 @@
     most = settings.limits.descriptors - RESERVED_DESCRIPTORS
     entrance = server.Server(callers.handle, lambda: _limits(view), max(most, 64))
     async with (
-        questions.listening(
+        listeners.listening(
             entrance, settings.entry.callers_address, kernel.find("early listener")
         ),
         tasks.background(_keep_warm(sender), teller.tell(), teller.keep_in_step(), stalls.watch()),
@@ -337,7 +337,7 @@
         kernel.find("source"),
         kernel.find("view"),
         own,
-        lambda: questions.ready(kernel),
+        lambda: listeners.ready(kernel),
         kernel.find("relayed").tells_others,
         random.Random(),
     )
@@ -378,6 +378,6 @@
     ("view", _view),
     ("following", _following),
     ("callers", _callers),
-    ("questions", questions.answered),
+    ("questions", listeners.answered),
     ("registration", _registration),
 )
--- a/tests/direct/test_routes.py
+++ b/tests/direct/test_routes.py
@@ -56,6 +56,6 @@
 
 def test_services_are_drawn_by_weight():
     split = route("r", "h", "/", services=(routes.Share("a", 3), routes.Share("b", 1)))
-    spread, rng = callers.Spread(), random.Random(1)
+    spread, rng = callers.WeightedRoundRobin(), random.Random(1)
     counts = collections.Counter(spread.pick(split, rng) for _ in range(4000))
     assert 0.72 < counts["a"] / 4000 < 0.78
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -135,7 +135,7 @@
     """
     split = (routes.Share("a", 3.0), routes.Share("b", 1.0))
     route = routes.Route("r", "h", "/", True, 1000, 100, 1, 2, split)
-    spread, rng = callers_module.Spread(), random.Random(1)
+    spread, rng = callers_module.WeightedRoundRobin(), random.Random(1)
     counts = collections.Counter(spread.pick(route, rng) for _ in range(400))
     assert abs(counts["a"] - 300) <= 1
 
