--- a/src/turmericlug/entry/callers.py
+++ b/src/turmericlug/entry/callers.py
@@ -1,4 +1,4 @@
-"""Callers' requests: checked, matched to a route, answered, logged."""
+"""Handling of callers' requests: validation, route matching, answering and logging."""
 
 from __future__ import annotations
 
@@ -25,49 +25,54 @@
 from turmericlug.telemetry import decisions
 
 STALE_S = 2.5
-"""Without the source for longer than this, an unknown path may be a new route: the caller is sent
-elsewhere instead of being told that there is none. News that another instance passes on are up to
-2.4 s old; the shortest time in which a route has to be in force is 3 s."""
+"""Age of the source's data beyond which a path without a route may belong to a new route: the
+request is refused, so that the caller tries another instance, instead of being answered with 404.
+Updates relayed by another instance are up to 2.4 s old; the shortest time allowed until a new route
+is in force is 3 s."""
 STARTING = "starting"
-"""Reason of a query that was refused because an instance that has just started takes only few."""
-FIRST_READING_S = 0.3
-"""Age until which an instance expects its first reading of the source, which takes 20 to 100 ms."""
-MOST_SPENT_SHARE = 0.5
-"""Part of a goal that may be gone before the first attempt, for looking up addresses and
-connecting."""
-LEAST_LEFT_S = 0.003
-"""Less time than this can't reach a replica and come back."""
+"""Reason for refusing a query during slow start, when an instance accepts only a few queries."""
+FIRST_SNAPSHOT_TIMEOUT_S = 0.3
+"""Time after the start within which the first snapshot of the source is expected; reading it takes
+20 to 100 ms."""
+MAX_SPENT_SHARE = 0.5
+"""Largest share of a goal that may count as spent before the request was sent, on the caller's
+address lookup and connection setup."""
+MIN_TIME_LEFT_S = 0.003
+"""A request with less time left is refused: a round trip to a replica takes longer."""
 
 
 @attrs.define
 class WeightedRoundRobin:
-    """Spreads the requests of a route over its services so that each gets its weight's share."""
+    """Distributes the requests of a route over its services in proportion to their weights."""
 
-    _counts: dict[tuple[routes.Share, ...], list[float]] = attrs.field(factory=dict)
+    _debts: dict[tuple[routes.Share, ...], list[float]] = attrs.field(factory=dict)
 
     def pick(self, route: routes.Route, rng: random.Random) -> str:
         """
         Return the service that is furthest behind its share.
 
-        Drawing at random leaves shares of a few hundred requests several points off.
+        With a random choice, the shares of a few hundred requests are off by several percentage
+        points.
         """
-        shares = route.services
-        if len(shares) == 1:
-            return shares[0].service
-        total = sum(share.weight for share in shares)
-        debts = self._counts.get(shares)
+        services = route.services
+        if len(services) == 1:
+            return services[0].service
+        total = sum(weighted.weight for weighted in services)
+        debts = self._debts.get(services)
         if debts is None:
-            # A random start keeps instances from all beginning with the same service.
-            debts = self._counts[shares] = [rng.random() * each.weight / total for each in shares]
-        for index, share in enumerate(shares):
-            debts[index] += share.weight / total
-        chosen = max(range(len(shares)), key=lambda index: debts[index])
+            # Random initial debts keep all instances from choosing the same service first.
+            debts = self._debts[services] = [
+                rng.random() * each.weight / total for each in services
+            ]
+        for index, weighted in enumerate(services):
+            debts[index] += weighted.weight / total
+        chosen = max(range(len(services)), key=lambda index: debts[index])
         debts[chosen] -= 1.0
-        return shares[chosen].service
+        return services[chosen].service
 
 
-class Callers:
-    """The handler of callers' requests."""
+class RequestHandler:
+    """Handles callers' requests."""
 
     def __init__(
         self,
@@ -80,18 +85,18 @@
         self._refuse_from_s = math.inf
         self._ends_at_s = math.inf
         self._source_age_s = source_age_s
-        self._spread = WeightedRoundRobin()
-        self._stated: collections.defaultdict[str, patience.StatedTimes] = collections.defaultdict(
-            patience.StatedTimes
+        self._balancer = WeightedRoundRobin()
+        self._stated_times: collections.defaultdict[str, patience.StatedTimes] = (
+            collections.defaultdict(patience.StatedTimes)
         )
-        """What callers have stated, by route."""
-        self._began_s = asyncio.get_running_loop().time()
-        self._slow_start = slow_start.SlowStart(self._began_s)
+        """Remaining times that callers have stated, by route."""
+        self._started_s = asyncio.get_running_loop().time()
+        self._slow_start = slow_start.SlowStart(self._started_s)
         self._configured = asyncio.Event()
 
     async def handle(self, request: messages.Request) -> messages.Answer:
         """Answer one request."""
-        configuration = self.view.configuration or await self._first_configuration()
+        configuration = self.view.configuration or await self._wait_for_configuration()
         if configuration is None:
             return self._refused(request, "no_configuration")
         hosts = [value for key, value in request.headers if key == b"host"]
@@ -105,57 +110,57 @@
         if route is None:
             return self._no_route(request, configuration, host, path)
         route = route.bound_to(self._key_regions(request, configuration))
-        call = self._call(request, request_id, target, route, configuration.version)
-        if self._may_be_cut_off(call):
+        call = self._make_call(request, request_id, target, route, configuration.version)
+        if self._may_be_interrupted(call):
             return attrs.evolve(self._refused(request, "leaving"), close=True)
-        return await self._answered(call, request.caller_host)
+        return await self._answer_call(call, request.caller_host)
 
     def _key_regions(
         self, request: messages.Request, configuration: routes.Configuration
     ) -> frozenset[str] | None:
-        """Return the regions that the caller's organisation is bound to, if it is."""
+        """Return the regions that the caller's organisation is restricted to, ``None`` if any."""
         if not configuration.key_regions:
             return None
         return configuration.key_regions.get(request.header(self.sender.names.organisation) or b"")
 
     def leave(self, refuse_from_s: float, ends_at_s: float) -> None:
         """
-        Take only what will be answered before the end.
+        Begin draining: refuse requests that may still be in flight when the process exits.
 
-        :param refuse_from_s: until then everything is taken
-        :param ends_at_s: when the process ends
+        :param refuse_from_s: time until which every request is accepted
+        :param ends_at_s: time at which the process exits
         """
         self._refuse_from_s, self._ends_at_s = refuse_from_s, ends_at_s
 
-    def _may_be_cut_off(self, call: sending.Call) -> bool:
+    def _may_be_interrupted(self, call: sending.Call) -> bool:
         """
-        Whether the end of this process may come before the end of the caller's time.
+        Whether this process may exit before the request's deadline.
 
-        Refused without a look at their time, requests that would have been answered long before the
-        end come back late.
+        Requests with an earlier deadline are still accepted: refused as well, they would be
+        answered late after a retry, although there is time to answer them long before the exit.
         """
         now_s = asyncio.get_running_loop().time()
         return now_s >= self._refuse_from_s and call.deadline_s > self._ends_at_s
 
-    def configured(self) -> None:
-        """Take note that there is a configuration."""
+    def on_configured(self) -> None:
+        """Wake requests that wait for the first configuration."""
         self._configured.set()
 
-    async def _first_configuration(self) -> routes.Configuration | None:
+    async def _wait_for_configuration(self) -> routes.Configuration | None:
         """
-        Wait for the first reading of an instance that has just started.
+        Wait for the first snapshot of an instance that has just started.
 
-        Callers whose requests have waited for the program to be loaded would be refused together
-        some 30 ms before they can be served, and most of them come back once only.
+        Connections accepted while the program was loading all deliver their requests about 30 ms
+        before they can be served. Refused then, most of their callers retry only once.
         """
-        left_s = self._began_s + FIRST_READING_S - asyncio.get_running_loop().time()
+        left_s = self._started_s + FIRST_SNAPSHOT_TIMEOUT_S - asyncio.get_running_loop().time()
         if left_s > 0 and not self.view.source_away:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(left_s):
                     await self._configured.wait()
         return self.view.configuration
 
-    def _call(
+    def _make_call(
         self,
         request: messages.Request,
         request_id: bytes,
@@ -167,10 +172,10 @@
         dropped = (names.time_left, names.expected_instance, b"expect")
         headers = [each for each in client.end_to_end(request.headers) if each[0] not in dropped]
         left_ms = _time_left_ms(request.header(names.time_left))
-        stated = self._stated[route.name]
+        stated = self._stated_times[route.name]
         stated.add(left_ms)
-        # A route's timeout is meant for its callers, so that most wait for as long.
-        spent_ms = stated.spent_ms(left_ms, MOST_SPENT_SHARE * route.goal_ms, route.timeout_ms)
+        # Most callers of a route use the route's timeout as their own.
+        spent_ms = stated.spent_ms(left_ms, MAX_SPENT_SHARE * route.goal_ms, route.timeout_ms)
         sent_s = request.arrived_s - request.way_back_s
         return sending.Call(
             request_id=request_id,
@@ -188,7 +193,7 @@
             ),
         )
 
-    async def _answered(self, call: sending.Call, caller_host: str) -> messages.Answer:
+    async def _answer_call(self, call: sending.Call, caller_host: str) -> messages.Answer:
         loop = asyncio.get_running_loop()
         decisions.log(
             "query.routed",
@@ -203,57 +208,57 @@
         )
         try:
             with self.sender.quarantine.under_way(call):
-                ending = await self._ending(call, loop.time())
+                result = await self._get_result(call, loop.time())
         except asyncio.CancelledError:
-            self._left(call, loop.time())
+            self._on_caller_left(call, loop.time())
             raise
-        self._log(call, ending, loop.time())
-        return ending.answer
+        self._log_result(call, result, loop.time())
+        return result.answer
 
-    async def _ending(self, call: sending.Call, now_s: float) -> answering.Ending:
-        if call.deadline_s - now_s < LEAST_LEFT_S:
+    async def _get_result(self, call: sending.Call, now_s: float) -> answering.Ending:
+        if call.deadline_s - now_s < MIN_TIME_LEFT_S:
             return answering.refusal(self.sender, "no_time_left")
         if call.route.shards:
-            return await self._all_shards(call)
+            return await self._query_shards(call)
         if not call.route.services:
             return answering.refusal(self.sender, "no_service")
-        service = self._spread.pick(call.route, self.sender.rng)
-        ending = await trial.instead(self.sender, call, service)
-        return ending or await answering.single(self.sender, call, service)
+        service = self._balancer.pick(call.route, self.sender.rng)
+        result = await trial.instead(self.sender, call, service)
+        return result or await answering.single(self.sender, call, service)
 
-    async def _all_shards(self, call: sending.Call) -> answering.Ending:
+    async def _query_shards(self, call: sending.Call) -> answering.Ending:
         loop = asyncio.get_running_loop()
-        held = await trial.before(self.sender, call)
-        if held is not None:
-            return held
-        if not self._slow_start.begin(loop.time()) and not await self._turn(call):
+        withheld = await trial.before(self.sender, call)
+        if withheld is not None:
+            return withheld
+        if not self._slow_start.begin(loop.time()) and not await self._wait_for_slot(call):
             return answering.refusal(self.sender, STARTING, answering.storm_come_back_s)
         in_time = False
         began_s = loop.time()
         try:
-            ending = await answering.all_shards(self.sender, call)
-            told_s = loop.time() + call.way_back_s
-            in_time = ending.answer.status == 200 and told_s <= call.goal_at_s
-            return ending
+            result = await answering.all_shards(self.sender, call)
+            caller_gets_s = loop.time() + call.way_back_s
+            in_time = result.answer.status == 200 and caller_gets_s <= call.goal_at_s
+            return result
         finally:
             self._slow_start.end(loop.time(), loop.time() - began_s, in_time)
 
-    async def _turn(self, call: sending.Call) -> bool:
-        """Wait until a query may begin; false when that would be too late."""
+    async def _wait_for_slot(self, call: sending.Call) -> bool:
+        """Wait until slow start admits the query; false when that would be too late."""
         loop = asyncio.get_running_loop()
-        turn: asyncio.Future[None] = loop.create_future()
+        slot: asyncio.Future[None] = loop.create_future()
         waiting = slow_start.Waiting(
-            call.route.priority, call.goal_at_s, call.deadline_s, lambda: turn.set_result(None)
+            call.route.priority, call.goal_at_s, call.deadline_s, lambda: slot.set_result(None)
         )
         if not self._slow_start.wait(waiting, loop.time()):
             return False
         began_s = loop.time()
         try:
-            await turn
+            await slot
         except asyncio.CancelledError:
             self._slow_start.give_up(waiting)
-            if turn.done() and not turn.cancelled():
-                # The turn came as the caller left: the next one takes it.
+            if slot.done() and not slot.cancelled():
+                # The slot was granted while the caller disconnected: release it for the next query.
                 self._slow_start.end(loop.time(), 0.0, in_time=False)
             raise
         self.sender.counters.add("entry.waited")
@@ -265,12 +270,12 @@
         )
         return True
 
-    def _left(self, call: sending.Call, now_s: float) -> None:
+    def _on_caller_left(self, call: sending.Call, now_s: float) -> None:
         """
-        Stop the work for a caller that has left.
+        Abandon the request of a caller that has disconnected.
 
-        But for a request that must not run twice and was written: breaking it off half done would
-        leave its effect unknown, and nobody could be told.
+        A request that is not idempotent and has been written is left to finish: cancelled halfway,
+        its effect would be unknown, and there is no caller to report that to.
         """
         if call.route.idempotent:
             call.abandon()
@@ -282,20 +287,20 @@
             age_ms=round((now_s - call.began_s) * 1000, 1),
         )
 
-    def _log(self, call: sending.Call, ending: answering.Ending, now_s: float) -> None:
+    def _log_result(self, call: sending.Call, result: answering.Ending, now_s: float) -> None:
         counters = self.sender.counters
-        counters.add(f"entry.{ending.outcome}")
-        if ending.outcome == "refused":
-            counters.add(f"entry.refused.{ending.reason.partition(',')[0]}")
+        counters.add(f"entry.{result.outcome}")
+        if result.outcome == "refused":
+            counters.add(f"entry.refused.{result.reason.partition(',')[0]}")
         duration_ms = (now_s - call.began_s) * 1000
         counters.time_ms("entry.total_ms", duration_ms)
         decisions.log(
-            f"query.{ending.outcome}",
+            f"query.{result.outcome}",
             request=call.request_id,
             route=call.route.name,
             version=call.version,
-            status=ending.answer.status,
-            reason=ending.reason or None,
+            status=result.answer.status,
+            reason=result.reason or None,
             duration_ms=round(duration_ms, 1),
             goal_ms=call.route.goal_ms,
             hedges=call.hedges,
@@ -315,7 +320,7 @@
     def _bad_request(self, request: messages.Request, lacking: str) -> messages.Answer:
         self.sender.counters.add(f"entry.bad_request.{lacking}")
         decisions.log("query.bad_request", lacking=lacking)
-        return messages.Answer(400, body=f"{lacking} is missing or stands twice".encode())
+        return messages.Answer(400, body=f"{lacking} is missing or repeated".encode())
 
     def _no_route(
         self,
@@ -338,7 +343,7 @@
 
 
 def _origin_form(target: bytes) -> bytes:
-    """Return path and query of a target that names scheme and host as well."""
+    """Return the path and query of a request target, which may be in absolute form."""
     if target.startswith(b"/"):
         return target
     _, found, rest = target.partition(b"://")
@@ -346,7 +351,11 @@
 
 
 def _time_left_ms(value: bytes | None) -> float:
-    """Return the stated time; one that is missing or no number leaves the route's timeout."""
+    """
+    Return the remaining time that the caller states.
+
+    Without a valid number it is infinite, so that the route's timeout applies.
+    """
     try:
         stated_ms = float(value or b"inf")
     except ValueError:
--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -285,8 +285,8 @@
         sender.rng,
     )
     kernel.provide("teller", teller)
-    callers = callers_module.Callers(view, sender, view.source_age_s)
-    view.on_configuration = callers.configured
+    callers = callers_module.RequestHandler(view, sender, view.source_age_s)
+    view.on_configuration = callers.on_configured
     kernel.provide("handler", callers)
     most = settings.limits.descriptors - RESERVED_DESCRIPTORS
     entrance = server.Server(callers.handle, lambda: _limits(view), max(most, 64))
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -392,11 +392,12 @@
         "entry/test_live_settings.py::test_what_is_taken_over",
     ),
     mutant.one(
-        "storm-let-in",
+        "no-slow-start",
         "entry/callers.py",
-        "        if not self._slow_start.begin(loop.time()) and not await self._turn(call):",
+        "        if not self._slow_start.begin(loop.time())"
+        " and not await self._wait_for_slot(call):",
         "        if False:",
-        "entry/test_callers.py::test_an_instance_that_has_just_started_takes_few_queries",
+        "entry/test_callers.py::test_slow_start_limits_queries_after_a_start",
     ),
     mutant.one(
         "misdirected-retried-like-shed",
@@ -410,7 +411,7 @@
         "entry/callers.py",
         "began_s=min(request.began_s, sent_s - spent_ms / 1000),",
         "began_s=request.began_s,",
-        "entry/test_callers.py::test_goals_count_from_when_callers_began",
+        "entry/test_callers.py::test_goal_counts_from_the_start_of_the_callers_timeout",
     ),
     mutant.one(
         "started-again-is-the-same",
@@ -448,11 +449,11 @@
         "entry/test_early.py::test_a_request_sent_before_the_program_is_loaded_is_answered",
     ),
     mutant.one(
-        "refuse-before-the-first-reading",
+        "refuse-before-the-first-snapshot",
         "entry/callers.py",
-        "self.view.configuration or await self._first_configuration()",
+        "self.view.configuration or await self._wait_for_configuration()",
         "self.view.configuration",
-        "entry/test_callers.py::test_the_first_requests_of_an_instance_wait_for_its_first_reading",
+        "entry/test_callers.py::test_first_requests_wait_for_the_first_snapshot",
     ),
     mutant.one(
         "shed-is-forgotten",
