--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -1,4 +1,4 @@
-"""One entry instance: opens its services in order, serves, and leaves without cutting a request."""
+"""Process of an entry instance: starts its services in order, serves, and drains before exiting."""
 
 from __future__ import annotations
 
@@ -50,22 +50,25 @@
 from turmericlug.telemetry import decisions
 
 RESERVED_DESCRIPTORS = 900
-"""Descriptors kept from callers: files (200), connections to replicas, the store, listeners."""
-PEER_CONNECTIONS = 16
-"""Batches under way to one instance at a time; a query has one for each region."""
-HOUSEKEEPING_S = 0.1
-TRIM_EVERY_S = 1.0
-WARM_EVERY_S = 0.3
-"""With eight connections a round, 40 replicas are connected in 1.5 s after a start."""
-TOTALS_EVERY_S = 10.0
-"""One line of about a kilobyte: a thousandth of what a busy second may log."""
+"""File descriptors not available to callers' connections: 200 for files, the others for connections
+to replicas and the store, and for listeners."""
+MAX_PEER_CONNECTIONS = 16
+"""Maximum number of batches in flight to one instance; a query has one for each region."""
+HOUSEKEEPING_INTERVAL_S = 0.1
+TRIM_INTERVAL_S = 1.0
+WARM_INTERVAL_S = 0.3
+"""With eight new connections per round, 40 replicas are connected 1.5 s after the start."""
+TOTALS_INTERVAL_S = 10.0
+"""Each log line of totals has about 1 kB, a thousandth of what may be logged in a busy second."""
 REFUSE_AFTER_SHARE = 0.6
-"""Share of the grace period after which a leaving instance refuses: what it takes later could be
-cut off by the forced end."""
-END_BEFORE_S = 0.7
-"""Time kept before the forced end, for the last answers to leave a slowed instance."""
-QUIET_S = 2.5
-"""A leaving instance without connections ends after the lifetime of its addresses (2 s)."""
+"""Share of the grace period after which a draining instance refuses requests: those accepted later
+could be interrupted by the forced termination."""
+EXIT_MARGIN_S = 0.7
+"""Time between the exit and the forced termination, so that a slow instance can still send its
+last answers."""
+MIN_DRAIN_S = 2.5
+"""A draining instance without connections exits after this time, which is longer than callers cache
+its address (2 s)."""
 _COLLECT_THRESHOLDS = (20_000, 20, 50)
 
 Kernel = kernel_module.Kernel
@@ -73,7 +76,7 @@
 
 @attrs.frozen
 class Adapter:
-    """What differs from one kind of deployment to the next."""
+    """The parts of an entry instance that depend on the platform it is deployed on."""
 
     names: header_names_module.HeaderNames
     source: abc.Callable[[settings_module.Source, counters_module.Counters], news.Source]
@@ -89,12 +92,13 @@
     early_listener: socket.socket | None = None,
 ) -> None:
     """
-    Run one entry instance until it is told to stop.
+    Run one entry instance until it receives SIGTERM or SIGINT.
 
-    :param early_listener: listens for callers already
+    :param early_listener: socket that already listens for callers
     """
     decisions.setup(settings.entry.name)
-    # A full collection over all loaded modules holds the event loop up for tens of milliseconds.
+    # A full garbage collection over all loaded modules blocks the event loop for tens of
+    # milliseconds, so their objects are excluded and collections made rare.
     gc.collect()
     gc.freeze()
     gc.set_threshold(*_COLLECT_THRESHOLDS)
@@ -109,7 +113,7 @@
     early_listener: socket.socket | None,
 ) -> None:
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(_report_failure)
+    loop.set_exception_handler(_log_task_failure)
     stop = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     loop.add_signal_handler(signal.SIGINT, stop.set)
@@ -127,13 +131,13 @@
             await kernel.open(name, factory)
         decisions.log("instance.started")
         await stop.wait()
-        await _leave(kernel)
+        await _drain(kernel)
     finally:
         await kernel.close()
     decisions.log("instance.stopped")
 
 
-def _report_failure(loop: asyncio.AbstractEventLoop, context: dict[str, typing.Any]) -> None:
+def _log_task_failure(loop: asyncio.AbstractEventLoop, context: dict[str, typing.Any]) -> None:
     error = context.get("exception")
     reason = f"{type(error).__name__}: {error}" if error else str(context.get("message"))
     decisions.log("task.failed", reason=reason[:500])
@@ -154,14 +158,14 @@
 
     stated_idle: dict[str, pool_module.StatedIdle] = collections.defaultdict(pool_module.StatedIdle)
 
-    def limit(entry: routes.ReplicaEntry) -> int:
+    def connection_limit(entry: routes.ReplicaEntry) -> int:
         configuration = view.configuration
         service = configuration.services.get(entry.service) if configuration else None
-        most = service.max_connections if service else entry.slots
+        max_connections = service.max_connections if service else entry.slots
         senders = min(view.instances_count(), placement.SENDERS)
-        return pool_module.connections_limit(most, senders)
+        return pool_module.connections_limit(max_connections, senders)
 
-    def unasked(entry: routes.ReplicaEntry) -> None:
+    def on_unexpected_bytes(entry: routes.ReplicaEntry) -> None:
         counters.add("direct.unasked_bytes")
         decisions.log("send.unasked_bytes", replica=entry.instance, service=entry.service)
 
@@ -170,11 +174,11 @@
             client.connect,
             entry.host,
             entry.port,
-            on_unasked=functools.partial(unasked, entry),
+            on_unasked=functools.partial(on_unexpected_bytes, entry),
         )
         return pool_module.Pool(
             connect,
-            functools.partial(limit, entry),
+            functools.partial(connection_limit, entry),
             loop.time,
             stated_idle=stated_idle[entry.service],
         )
@@ -182,7 +186,10 @@
     def make_peer_pool(entry: routes.ReplicaEntry) -> pool_module.Pool:
         connect = functools.partial(client.connect, entry.host, entry.port)
         return pool_module.Pool(
-            connect, lambda: PEER_CONNECTIONS, loop.time, spare_idle_s=listeners.PEER_IDLE_S
+            connect,
+            lambda: MAX_PEER_CONNECTIONS,
+            loop.time,
+            spare_idle_s=listeners.PEER_IDLE_TIMEOUT_S,
         )
 
     live = kernel.find("live settings")
@@ -191,7 +198,7 @@
     replicas = replicas_module.Replicas(make_pool, place, allowance)
     peers = replicas_module.Replicas(make_peer_pool, place, allowance)
     view = view_module.View(settings.entry.name, replicas, peers, loop.time)
-    async with tasks.background(_keep_house(view), _log_totals(view, counters), live.watch()):
+    async with tasks.background(_run_housekeeping(view), _log_totals(view, counters), live.watch()):
         yield view
 
 
@@ -200,26 +207,26 @@
 
 
 async def _log_totals(view: view_module.View, counters: counters_module.Counters) -> None:
-    """Keep the counters in the log as well: metrics of an instance that ended can't be read."""
+    """Log the counters regularly, since the metrics of a terminated instance can't be read."""
     while True:
-        await asyncio.sleep(TOTALS_EVERY_S)
+        await asyncio.sleep(TOTALS_INTERVAL_S)
         decisions.log("instance.totals", connections=view.replicas.connections(), **counters.totals)
 
 
-async def _keep_house(view: view_module.View) -> None:
-    rounds = 0
+async def _run_housekeeping(view: view_module.View) -> None:
+    round_count = 0
     while True:
-        await asyncio.sleep(HOUSEKEEPING_S)
+        await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
         view.settle()
-        rounds += 1
-        if rounds % int(TRIM_EVERY_S / HOUSEKEEPING_S) == 0:
+        round_count += 1
+        if round_count % int(TRIM_INTERVAL_S / HOUSEKEEPING_INTERVAL_S) == 0:
             for replica in view.replicas.all():
                 replica.pool.trim()
 
 
 @contextlib.asynccontextmanager
-async def _following(kernel: Kernel) -> abc.AsyncIterator[tasks.Tasks]:
-    """Follow the source; opening ends with the first reading."""
+async def _follow_source(kernel: Kernel) -> abc.AsyncIterator[tasks.Tasks]:
+    """Follow the source's changes and deregister instances that have become silent."""
     view, source, counters = (kernel.find(name) for name in ("view", "source", "counters"))
     relayed = relay.RelayedSource(
         source,
@@ -233,15 +240,15 @@
     journal = journal_module.Journal()
     kernel.provide("journal", journal)
     work = follower.follow(source, relayed.changes, view, journal, counters, random.Random())
-    missing = absence.take_out_missed(source, view, relayed, counters)
-    async with tasks.background(work, missing) as running:
+    cleanup = absence.take_out_missed(source, view, relayed, counters)
+    async with tasks.background(work, cleanup) as running:
         yield running
 
 
 @contextlib.asynccontextmanager
 async def _callers(kernel: Kernel) -> abc.AsyncIterator[server.Server]:
     settings, view = kernel.find("settings"), kernel.find("view")
-    sends = tasks.Tasks()
+    send_tasks = tasks.Tasks()
     stalls = stalls_module.Stalls()
     kernel.provide("stalls", stalls)
     peers = peers_module.Peers(view.peers, _place(settings))
@@ -249,7 +256,7 @@
         view.replicas,
         kernel.find("adapter").names,
         kernel.find("counters"),
-        sends,
+        send_tasks,
         view.instances_count,
         handover.Handover(peers),
         is_shard=lambda service: (
@@ -277,39 +284,41 @@
     view.on_instances = peers.forget_owners
     view.replicas.on_lost = sender.quarantine.lost
     kernel.provide("sender", sender)
-    teller = suspects.Teller(
+    gossip = suspects.Teller(
         sender.quarantine,
         view.peers,
         kernel.find("counters"),
         settings.entry.data_centre,
         sender.rng,
     )
-    kernel.provide("teller", teller)
+    kernel.provide("teller", gossip)
     callers = callers_module.RequestHandler(view, sender, view.source_age_s)
     view.on_configuration = callers.on_configured
     kernel.provide("handler", callers)
-    most = settings.limits.descriptors - RESERVED_DESCRIPTORS
-    entrance = server.Server(callers.handle, lambda: _limits(view), max(most, 64))
+    max_connections = settings.limits.descriptors - RESERVED_DESCRIPTORS
+    caller_server = server.Server(callers.handle, lambda: _limits(view), max(max_connections, 64))
     async with (
-        listeners.listening(
-            entrance, settings.entry.callers_address, kernel.find("early listener")
+        listeners.listen(
+            caller_server, settings.entry.callers_address, kernel.find("early listener")
+        ),
+        tasks.background(
+            _warm_connections(sender), gossip.tell(), gossip.keep_in_step(), stalls.watch()
         ),
-        tasks.background(_keep_warm(sender), teller.tell(), teller.keep_in_step(), stalls.watch()),
     ):
-        yield entrance
-    await sends.close()
+        yield caller_server
+    await send_tasks.close()
 
 
-async def _keep_warm(sender: sender_module.Sender) -> None:
+async def _warm_connections(sender: sender_module.Sender) -> None:
     loop = asyncio.get_running_loop()
     peers = sender.handover.peers
     while True:
-        few = placement.everyone_sends(sender.instance_count())
-        await peers.warm(shared=not few)
+        all_direct = placement.everyone_sends(sender.instance_count())
+        await peers.warm(shared=not all_direct)
         await sender.replicas.warm(
-            loop.time(), lambda service: peers.sends_from_here(sender, service), far=few
+            loop.time(), lambda service: peers.sends_from_here(sender, service), far=all_direct
         )
-        await asyncio.sleep(WARM_EVERY_S)
+        await asyncio.sleep(WARM_INTERVAL_S)
 
 
 def _place(settings: settings_module.Settings) -> placement.Place:
@@ -345,30 +354,31 @@
         yield running
 
 
-async def _leave(kernel: Kernel) -> None:
+async def _drain(kernel: Kernel) -> None:
     """
-    Leave without cutting off a request.
+    Drain the instance so that no request is interrupted.
 
-    The entry goes first, so that callers stop coming. Callers that still hold the address are
-    served; each answer asks them to connect elsewhere. Late in the grace period new requests that
-    could be cut off are refused, and at its end the process waits for the last answers.
+    Its registration is removed first, so that new callers connect elsewhere. Callers that still
+    have the address are served, and each answer asks them to connect elsewhere. Late in the grace
+    period, new requests that could be interrupted are refused, and until its end the process waits
+    for the last answers.
     """
     loop = asyncio.get_running_loop()
     began_s = loop.time()
     grace_s = kernel.find("live settings").policy.grace_s
-    entrance, handler = kernel.find("callers"), kernel.find("handler")
-    decisions.log("instance.leaving", connections=len(entrance.connections), grace_s=grace_s)
-    entrance.leave()
+    caller_server, handler = kernel.find("callers"), kernel.find("handler")
+    decisions.log("instance.leaving", connections=len(caller_server.connections), grace_s=grace_s)
+    caller_server.leave()
     await kernel.find("registration").close()
     refuse_at_s = began_s + REFUSE_AFTER_SHARE * grace_s
-    end_s = began_s + grace_s - END_BEFORE_S
+    end_s = began_s + grace_s - EXIT_MARGIN_S
     handler.leave(refuse_at_s, end_s)
     unregistered = follower.stay_unregistered(
         kernel.find("source"), kernel.find("view"), kernel.find("settings").entry.name
     )
     async with tasks.background(unregistered):
         while loop.time() < end_s:
-            if loop.time() >= began_s + QUIET_S and not entrance.connections:
+            if loop.time() >= began_s + MIN_DRAIN_S and not caller_server.connections:
                 break
             await asyncio.sleep(0.05)
 
@@ -376,8 +386,8 @@
 _SERVICES: tuple[tuple[str, kernel_module.ServiceFactory], ...] = (
     ("source", _source),
     ("view", _view),
-    ("following", _following),
+    ("following", _follow_source),
     ("callers", _callers),
-    ("questions", listeners.answered),
+    ("questions", listeners.serve),
     ("registration", _registration),
 )
--- a/src/turmericlug/entry/helping.py
+++ b/src/turmericlug/entry/helping.py
@@ -1,4 +1,4 @@
-"""Taking parts that another instance hands over, and coming back with what they gave."""
+"""Server side of handover: runs batches of parts for another instance and returns their results."""
 
 from __future__ import annotations
 
@@ -22,14 +22,15 @@
 Parts = dict[Part, str]
 
 
-MOST_STALL_S = 0.03
-"""A batch may have waited for as long as this process stood still. Later than this the other
-instance may have taken it for lost and sent its parts directly. Run as well, a part reaches more
-replicas than its route allows."""
-MOST_UNKNOWN_SHARE = 0.5
-"""An instance that has just started may be asked before it knows the replicas. Answered "no
-replica" for all shards, queries failed in the second after a power loss while others knew them.
-"""
+MAX_STALL_S = 0.03
+"""Longest stall of this process after which a batch is still accepted. A batch may have waited for
+the whole stall. After a longer one, the other instance may have given the batch up as lost and sent
+its parts directly; run here too, a part would reach more replicas than its route allows."""
+MAX_UNKNOWN_SHARE = 0.5
+"""Largest share of a batch's shards that may have no known replica for the batch to be accepted.
+An instance that has just started may receive batches before it knows the replicas. It used to
+answer "no replica" for all shards, and queries failed in the second after a power loss although
+other instances knew the replicas."""
 
 
 def handler(sender: sender_module.Sender) -> messages.Handler:
@@ -43,39 +44,39 @@
         except handover_codec.MessageError as error:
             decisions.log("helping.unreadable", reason=str(error))
             return messages.Answer(400)
-        reason = _refusal(sender, batch, request.stalled_s)
+        reason = _refusal_reason(sender, batch, request.stalled_s)
         if reason:
             sender.counters.add("helping.refused")
             decisions.log("helping.refused", request=batch.request_id, **reason)
             return messages.Answer(handover.REFUSED)
-        return messages.Answer(200, chunks=_answers(sender, batch, request.arrived_s))
+        return messages.Answer(200, chunks=_stream_answers(sender, batch, request.arrived_s))
 
     return handle
 
 
-def _refusal(
+def _refusal_reason(
     sender: sender_module.Sender, batch: handover_codec.Batch, stalled_s: float
 ) -> dict[str, int]:
-    """Return why nothing of a batch is to be run, as a field of the log; empty when it is."""
-    if stalled_s > MOST_STALL_S:
+    """Return the log field with the reason for refusing a batch; empty if it is accepted."""
+    if stalled_s > MAX_STALL_S:
         return {"stalled_ms": round(stalled_s * 1000)}
     unknown = sum(not sender.replicas.of(shard) for shard in batch.shards)
-    if unknown > MOST_UNKNOWN_SHARE * len(batch.shards):
+    if unknown > MAX_UNKNOWN_SHARE * len(batch.shards):
         return {"unknown_shards": unknown}
     return {}
 
 
-async def _answers(
+async def _stream_answers(
     sender: sender_module.Sender, batch: handover_codec.Batch, arrived_s: float
 ) -> abc.AsyncIterator[bytes]:
     """
-    Give what there is when it is asked for, then each straggler by itself.
+    Yield an answer with the results available at the requested time, then one per straggler.
 
-    Whether the query can do without the stragglers only the other instance knows, from what its
-    other parts gave.
+    Only the other instance can tell whether the query can be answered without the stragglers, since
+    that depends on the results of its other parts.
     """
     loop = asyncio.get_running_loop()
-    call = _call(batch, arrived_s, sender.names)
+    call = _make_call(batch, arrived_s, sender.names)
     parts = {
         loop.create_task(
             attempts.get_answer(
@@ -90,8 +91,8 @@
     with sender.quarantine.under_way(call):
         try:
             done, pending = await asyncio.wait(pending, timeout=max(answer_at_s - loop.time(), 0.0))
-            answer = _answer(parts, done, batch, (loop.time() - arrived_s) * 1000, first=True)
-            _log(sender, call, batch, answer)
+            answer = _make_answer(parts, done, batch, (loop.time() - arrived_s) * 1000, first=True)
+            _log_first_answer(sender, call, batch, answer)
             yield handover_codec.encode_answer(answer, batch.shards)
             while pending and loop.time() < call.deadline_s:
                 done, pending = await asyncio.wait(
@@ -99,10 +100,13 @@
                     timeout=max(call.deadline_s - loop.time(), 0.0),
                     return_when=asyncio.FIRST_COMPLETED,
                 )
-                answer = _answer(parts, done, batch, (loop.time() - arrived_s) * 1000, first=False)
+                answer = _make_answer(
+                    parts, done, batch, (loop.time() - arrived_s) * 1000, first=False
+                )
                 yield handover_codec.encode_answer(answer, batch.shards)
         except (asyncio.CancelledError, GeneratorExit):
-            # The other instance closed the connection: its caller left, or it takes us for dead.
+            # The other instance closed the connection: its caller disconnected, or it considers
+            # this instance dead.
             call.abandon()
             raise
         finally:
@@ -111,7 +115,7 @@
             call.answered(timing.STUCK_AFTER_S)
 
 
-def _log(
+def _log_first_answer(
     sender: sender_module.Sender,
     call: sending.Call,
     batch: handover_codec.Batch,
@@ -143,7 +147,7 @@
     return [f"{shard}: {call.describe(shard, now_s)}" for shard in missing[:5]]
 
 
-def _call(
+def _make_call(
     batch: handover_codec.Batch, arrived_s: float, names: header_names.HeaderNames
 ) -> sending.Call:
     route = routes.Route(
@@ -152,7 +156,7 @@
         prefix="",
         idempotent=True,
         timeout_ms=batch.time_left_ms,
-        # What is left of the query's goal here: late parts are sent a second time by it.
+        # The rest of the query's goal determines when late parts are hedged.
         goal_ms=batch.answer_in_ms,
         priority=batch.priority,
         max_attempts=batch.max_attempts,
@@ -176,7 +180,7 @@
     )
 
 
-def _answer(
+def _make_answer(
     parts: Parts, done: set[Part], batch: handover_codec.Batch, spent_ms: float, first: bool
 ) -> handover_codec.Answer:
     signatures: dict[str, bytes] = {}
--- a/src/turmericlug/entry/listeners.py
+++ b/src/turmericlug/entry/listeners.py
@@ -1,6 +1,6 @@
 """
-What an instance is asked besides callers' requests: whether it is ready, where callers may connect,
-what it believes and counts, and, by other instances, for parts and for news.
+The listeners of an entry instance other than the callers': readiness, the directory of addresses,
+metrics and status for operators, and other instances' batches, relayed updates and suspects.
 """
 
 from __future__ import annotations
@@ -21,38 +21,38 @@
 from turmericlug.kernel import kernel as kernel_module
 from turmericlug.telemetry import decisions
 
-ALIVE = b"HTTP/1.1 102 Processing\r\n\r\n"
-"""Tells an instance that hands parts over that they are being worked on."""
-PEER_IDLE_S = 60.0
-"""Connections between instances are kept: a new one costs a batch a round trip."""
+INTERIM_RESPONSE = b"HTTP/1.1 102 Processing\r\n\r\n"
+"""Interim response that tells a peer that its batch of parts is being processed."""
+PEER_IDLE_TIMEOUT_S = 60.0
+"""Idle timeout of connections between instances; a new connection costs a batch one round trip."""
 
 Kernel = kernel_module.Kernel
 
 
 @contextlib.asynccontextmanager
-async def listening(
-    entrance: server.Server, address: tuple[str, int], early: socket.socket | None = None
+async def listen(
+    http_server: server.Server, address: tuple[str, int], early: socket.socket | None = None
 ) -> abc.AsyncIterator[asyncio.Server]:
     """
-    Listen for the length of the block.
+    Listen for the duration of the context.
 
-    :param early: listens already, perhaps at the address
+    :param early: socket that already listens; used if it is bound to the address
     """
     if early is not None and early.getsockname() != address:
         decisions.log("instance.listened_elsewhere", address=early.getsockname()[0])
         early.close()
         early = None
-    listener = await server.listen(entrance, *address, early)
+    listener = await server.listen(http_server, *address, early)
     try:
         yield listener
     finally:
         listener.close()
-        entrance.close()
+        http_server.close()
 
 
 @contextlib.asynccontextmanager
-async def answered(kernel: Kernel) -> abc.AsyncIterator[None]:
-    """Answer readiness, addresses, metrics and other instances' batches."""
+async def serve(kernel: Kernel) -> abc.AsyncIterator[None]:
+    """Serve readiness, addresses, metrics, status and requests of other instances."""
     stalls = kernel.find("stalls")
     settings, view = kernel.find("settings"), kernel.find("view")
     adapter = kernel.find("adapter")
@@ -60,7 +60,7 @@
         (adapter.ready_handler(lambda: ready(kernel)), settings.entry.ready_address),
         (
             adapter.resolve_handler(
-                directory_module.Directory(view, settings.entry.name, lambda: _leaving(kernel))
+                directory_module.Directory(view, settings.entry.name, lambda: _is_leaving(kernel))
             ),
             settings.entry.directory_address,
         ),
@@ -68,22 +68,22 @@
     ]
     async with contextlib.AsyncExitStack() as stack:
         for handler, address in handlers:
-            questions = server.Server(handler, messages.Limits, settings.limits.descriptors // 8)
-            await stack.enter_async_context(listening(questions, address))
-        peers = server.Server(
+            http_server = server.Server(handler, messages.Limits, settings.limits.descriptors // 8)
+            await stack.enter_async_context(listen(http_server, address))
+        peer_server = server.Server(
             _peers_handler(kernel),
-            lambda: messages.Limits(idle_timeout_s=PEER_IDLE_S),
+            lambda: messages.Limits(idle_timeout_s=PEER_IDLE_TIMEOUT_S),
             settings.limits.descriptors // 8,
-            interim=ALIVE,
+            interim=INTERIM_RESPONSE,
             stalled_s=stalls.overdue_s,
         )
-        await stack.enter_async_context(listening(peers, settings.entry.peers_address))
+        await stack.enter_async_context(listen(peer_server, settings.entry.peers_address))
         yield
 
 
 def _operators_handler(kernel: Kernel) -> messages.Handler:
-    tell_metrics = metrics.handler(kernel.find("counters"))
-    tell_beliefs = beliefs.handler(
+    serve_metrics = metrics.handler(kernel.find("counters"))
+    serve_inspection = beliefs.handler(
         kernel.find("settings").entry.name,
         kernel.find("view"),
         lambda: ready(kernel),
@@ -92,34 +92,34 @@
 
     async def handle(request: messages.Request) -> messages.Answer:
         if request.target.startswith(metrics.PATH):
-            return await tell_metrics(request)
-        return await tell_beliefs(request)
+            return await serve_metrics(request)
+        return await serve_inspection(request)
 
     return handle
 
 
 def _peers_handler(kernel: Kernel) -> messages.Handler:
-    help_with = helping.handler(kernel.find("sender"))
-    tell_news = relay.handler(
+    run_batch = helping.handler(kernel.find("sender"))
+    serve_updates = relay.handler(
         kernel.find("journal"), kernel.find("view").source_age_s, kernel.find("relayed").attendance
     )
 
-    exchange = suspects.handler(kernel.find("sender").quarantine, kernel.find("teller"))
+    exchange_suspects = suspects.handler(kernel.find("sender").quarantine, kernel.find("teller"))
 
     async def handle(request: messages.Request) -> messages.Answer:
         if request.target.startswith(relay.PATH):
-            return await tell_news(request)
+            return await serve_updates(request)
         if request.target == suspects.PATH:
-            return await exchange(request)
-        return await help_with(request)
+            return await exchange_suspects(request)
+        return await run_batch(request)
 
     return handle
 
 
 def ready(kernel: Kernel) -> bool:
-    """Whether this instance takes requests."""
-    return kernel.find("view").ready and not _leaving(kernel)
+    """Whether this instance accepts requests."""
+    return kernel.find("view").ready and not _is_leaving(kernel)
 
 
-def _leaving(kernel: Kernel) -> bool:
+def _is_leaving(kernel: Kernel) -> bool:
     return kernel.find("callers").leaving
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -139,7 +139,7 @@
     mutant.one(
         "run-old-batches",
         "entry/helping.py",
-        "if stalled_s > MOST_STALL_S:",
+        "if stalled_s > MAX_STALL_S:",
         "if stalled_s < 0:",
         "direct/test_handover.py::test_a_batch_that_may_be_old_is_refused",
     ),
@@ -183,7 +183,7 @@
     mutant.one(
         "unknown-replicas-answered",
         "entry/helping.py",
-        "    if unknown > MOST_UNKNOWN_SHARE * len(batch.shards):",
+        "    if unknown > MAX_UNKNOWN_SHARE * len(batch.shards):",
         "    if False:",
         "direct/test_handover.py::test_an_instance_that_does_not_know_the_replicas_yet",
     ),
