--- a/src/turmericlug/entry/__init__.py
+++ b/src/turmericlug/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry instance: follows the configuration, answers callers, tells where to connect."""
+"""The entry instance: follows the configuration, serves callers, and publishes where to connect."""
--- a/src/turmericlug/entry/beliefs.py
+++ b/src/turmericlug/entry/beliefs.py
@@ -1,10 +1,11 @@
 """
-What an instance believes now, told to an operator on the metrics address.
+Inspection of an instance's state by operators, served on the metrics address.
 
-``GET /status`` tells configuration, source, instances and replicas; ``GET /explain?host=H&path=P``
-tells which route a request would take, and how its replicas stand; ``GET /quarantine`` tells which
-requests are held back, as replicas ended under them. ``POST /quarantine/CONTENT`` allows such a
-request again, at all instances; nothing else here changes anything.
+``GET /status`` returns the state of the configuration, source, instances and replicas;
+``GET /explain?host=H&path=P`` returns the route that a request would take and the status of its
+replicas; ``GET /quarantine`` returns the requests that are withheld because replicas crashed while
+running them. ``POST /quarantine/CONTENT`` allows such a request again at all instances; it is the
+only request here that changes any state.
 """
 
 from __future__ import annotations
@@ -28,12 +29,12 @@
 EXPLAIN_PATH = b"/explain"
 _JSON = ((b"content-type", b"application/json"),)
 
-Plain = dict[str, typing.Any]
+Json = dict[str, typing.Any]
 
 
 @attrs.frozen
-class Standing:
-    """How one replica stands with this instance."""
+class ReplicaStatus:
+    """Status of one replica as seen by this instance."""
 
     replica: str
     service: str
@@ -41,19 +42,19 @@
     state: str
     """``in use``, ``leaving``, ``set aside``, ``cold`` or ``late``."""
     sends: int
-    """Sends under way to it from here."""
+    """Attempts in flight to it from this instance."""
     expected_ms: float
-    """What one more request is expected to take, all reasons against it included."""
+    """Expected latency of one more request, including the penalties that apply to the replica."""
 
 
 @attrs.frozen
-class Held:
-    """A request that is held back."""
+class WithheldRequest:
+    """A request that is suspected or quarantined."""
 
     content: str
     verdict: str
     ends: dict[str, float]
-    """Replicas that ended under it, with the age of the end in seconds."""
+    """Replicas that crashed while running it, with the age of each crash in seconds."""
     quarantined_age_s: float | None
 
 
@@ -63,36 +64,36 @@
     ready: abc.Callable[[], bool],
     quarantine: quarantine_module.Quarantine,
 ) -> messages.Handler:
-    """Return the handler of all questions; 404 for any other."""
+    """Return the handler of the inspection endpoints; any other path is answered with 404."""
 
     async def handle(request: messages.Request) -> messages.Answer:
         path, _, query = request.target.partition(b"?")
         if path == STATUS_PATH:
             return _answer(status(name, view, ready()))
         if path == QUARANTINE_PATH:
-            return _answer({"requests": [attrs.asdict(each) for each in held(quarantine)]})
+            return _answer({"requests": [attrs.asdict(each) for each in list_withheld(quarantine)]})
         if path.startswith(QUARANTINE_PATH + b"/") and request.method == b"POST":
-            return _lifted(quarantine, path.removeprefix(QUARANTINE_PATH + b"/"))
+            return _lift(quarantine, path.removeprefix(QUARANTINE_PATH + b"/"))
         if path != EXPLAIN_PATH:
             return messages.Answer(404)
-        asked = urllib.parse.parse_qs(query.decode("latin-1"))
-        host, target = (asked.get(key, [""])[0] for key in ("host", "path"))
+        parameters = urllib.parse.parse_qs(query.decode("latin-1"))
+        host, target = (parameters.get(key, [""])[0] for key in ("host", "path"))
         if not host or not target.startswith("/"):
-            return messages.Answer(400, body=b"host and path (from /) have to be given")
+            return messages.Answer(400, body=b"host and path are required; path starts with /")
         return _answer(explain(view, host, target))
 
     return handle
 
 
-def _answer(plain: Plain, status: int = 200) -> messages.Answer:
-    return messages.Answer(status, _JSON, json.dumps(plain).encode())
+def _answer(result: Json, status: int = 200) -> messages.Answer:
+    return messages.Answer(status, _JSON, json.dumps(result).encode())
 
 
-def held(quarantine: quarantine_module.Quarantine) -> list[Held]:
-    """Return the requests that are held back, the latest end first."""
+def list_withheld(quarantine: quarantine_module.Quarantine) -> list[WithheldRequest]:
+    """Return the withheld requests, the one with the latest crash first."""
     now_s = asyncio.get_running_loop().time()
     found = [
-        Held(
+        WithheldRequest(
             request.hex(),
             record.verdict(now_s).value,
             {replica: round(now_s - at_s, 1) for replica, at_s in record.recent(now_s).items()},
@@ -103,18 +104,18 @@
     return sorted(found, key=lambda each: min(each.ends.values(), default=0.0))
 
 
-def _lifted(quarantine: quarantine_module.Quarantine, content: bytes) -> messages.Answer:
+def _lift(quarantine: quarantine_module.Quarantine, content: bytes) -> messages.Answer:
     try:
         request = bytes.fromhex(content.decode("latin-1"))
     except ValueError:
-        return _answer({"problems": ["the content is no hexadecimal number"]}, 400)
+        return _answer({"problems": ["the content is not a hexadecimal number"]}, 400)
     if not quarantine.lift(request):
-        return _answer({"problems": ["nothing is held against this content"]}, 404)
+        return _answer({"problems": ["no request with this content is withheld"]}, 404)
     return _answer({"lifted": request.hex()})
 
 
-def status(name: str, view: view_module.View, ready: bool) -> Plain:
-    """Tell what the instance believes as a whole."""
+def status(name: str, view: view_module.View, ready: bool) -> Json:
+    """Return the state of the instance as a whole."""
     now_s = asyncio.get_running_loop().time()
     states = [_state(each, now_s) for each in view.replicas.all()]
     return {
@@ -138,31 +139,35 @@
     }
 
 
-def explain(view: view_module.View, host: str, path: str) -> Plain:
-    """Tell the route of a request, and the replicas that could take it, best first."""
+def explain(view: view_module.View, host: str, path: str) -> Json:
+    """Return the route of a request and the status of its possible replicas, best first."""
     configuration = view.configuration
     route = configuration.match(host, path) if configuration is not None else None
-    plain = {
+    result = {
         "configuration_version": _version(view),
         "source_age_s": view_module.told_age_s(view.source_age_s()),
         "route": None,
     }
     if route is None:
-        return plain
+        return result
     services = route.shards or tuple(each.service for each in route.services)
-    return plain | {
+    return result | {
         "route": attrs.asdict(route)
         | {"regions": None if route.regions is None else sorted(route.regions)},
         "replicas": [
-            attrs.asdict(each) for service in services for each in _standings(view, route, service)
+            attrs.asdict(each)
+            for service in services
+            for each in _replica_statuses(view, route, service)
         ],
     }
 
 
-def _standings(view: view_module.View, route: routes.Route, service: str) -> list[Standing]:
+def _replica_statuses(
+    view: view_module.View, route: routes.Route, service: str
+) -> list[ReplicaStatus]:
     now_s = asyncio.get_running_loop().time()
     found = [
-        Standing(
+        ReplicaStatus(
             each.entry.instance,
             service,
             each.entry.data_centre,
--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -249,7 +249,7 @@
 async def _callers(kernel: Kernel) -> abc.AsyncIterator[server.Server]:
     settings, view = kernel.find("settings"), kernel.find("view")
     send_tasks = tasks.Tasks()
-    stalls = stalls_module.Stalls()
+    stalls = stalls_module.StallMonitor()
     kernel.provide("stalls", stalls)
     peers = peers_module.Peers(view.peers, _place(settings))
     sender = sender_module.Sender(
--- a/src/turmericlug/entry/directory.py
+++ b/src/turmericlug/entry/directory.py
@@ -1,4 +1,4 @@
-"""Which instances a caller should connect to."""
+"""Directory of the entry instances that a caller should connect to."""
 
 from __future__ import annotations
 
@@ -10,51 +10,54 @@
 from turmericlug.entry import view as view_module
 
 LIFETIME_S = 2.0
-"""How long callers keep the addresses: an instance that leaves goes on serving for a multiple."""
-ENOUGH = 2
-"""With two addresses a caller whose instance fails has another one to go to."""
-MOST = 64
+"""Time for which callers cache the addresses; a draining instance serves several times as long."""
+MIN_ADDRESSES = 2
+"""With two addresses, a caller can fail over when one instance fails."""
+MAX_ADDRESSES = 64
 
 Instances = list[news.EntryInstance]
 
 
 @attrs.define
 class Directory:
-    """Tells addresses from the view; the nearest instances first."""
+    """Selects the addresses for a caller from the instances in the view."""
 
     view: view_module.View
     own_name: str = ""
     leaving: abc.Callable[[], bool] = lambda: False
-    """Whether this instance leaves: callers are told the others then, as all others tell them."""
+    """Whether this instance is draining; it then omits itself, as the other instances do."""
     lifetime_s: float = LIFETIME_S
 
     def addresses(self, region: str, data_centre: str, host: str = "") -> list[str]:
         """
-        Return addresses for a caller.
+        Return the addresses of the instances that a caller may connect to.
 
-        All instances of its data centre, if there are enough for a second choice; else those of its
-        region, else of all: an answer that crosses regions is late, but none is worse. Where routes
-        of the host are bound to regions, only those and the caller's own count as all.
+        These are the instances of its data centre if there are enough for a failover, otherwise
+        those of its region, otherwise all, since an answer from another region is late but better
+        than none. If the host's routes are restricted to regions, the last choice is limited to the
+        instances of these regions and of the caller's own.
         """
-        known = self.view.instances.values()
-        others = [each for each in known if not (self.leaving() and each.name == self.own_name)]
-        instances = sorted(others or known, key=lambda each: each.name)
-        near = [each for each in instances if each.data_centre == data_centre]
+        all_instances = self.view.instances.values()
+        others = [
+            each for each in all_instances if not (self.leaving() and each.name == self.own_name)
+        ]
+        instances = sorted(others or all_instances, key=lambda each: each.name)
+        same_data_centre = [each for each in instances if each.data_centre == data_centre]
         same_region = [each for each in instances if each.region == region]
-        anywhere = self._allowed(instances, region, host) or instances
-        for candidates in (near, same_region):
-            if len(candidates) >= ENOUGH:
+        anywhere = self._in_allowed_regions(instances, region, host) or instances
+        for candidates in (same_data_centre, same_region):
+            if len(candidates) >= MIN_ADDRESSES:
                 return _addresses(candidates)
         return _addresses(anywhere)
 
-    def _allowed(self, instances: Instances, region: str, host: str) -> Instances:
-        """Return the instances that may get every request of a host from a region."""
+    def _in_allowed_regions(self, instances: Instances, region: str, host: str) -> Instances:
+        """Return the instances allowed to receive all requests for a host from a region."""
         configuration = self.view.configuration
-        bound = configuration.regions_of(host) if configuration is not None else None
-        if bound is None:
+        allowed = configuration.regions_of(host) if configuration is not None else None
+        if allowed is None:
             return instances
-        return [each for each in instances if each.region in bound or each.region == region]
+        return [each for each in instances if each.region in allowed or each.region == region]
 
 
 def _addresses(instances: Instances) -> list[str]:
-    return [each.address for each in instances[:MOST]]
+    return [each.address for each in instances[:MAX_ADDRESSES]]
--- a/src/turmericlug/entry/early.py
+++ b/src/turmericlug/entry/early.py
@@ -1,11 +1,12 @@
 """
-Listening for callers before the rest of the program is loaded.
+Listen for callers before the rest of the program is loaded.
 
-The load pattern: all instances lose power and come back. Loading the program takes a machine of one
-core 0.2 s, in which every connection is refused; a caller whose two tries fall into that time has
-no answer at all. On a port that listens already its request waits that long instead, and is served.
+This matters when all instances lose power and restart. Loading the program takes 0.2 s on a
+single-core machine, and a port that is not listening refuses connections for that time; a caller
+that makes both its attempts within it gets no answer. On a port that already listens, its request
+waits until the program is loaded, and is served.
 
-Imports nothing but the socket library, which is what makes it early.
+This module imports only the standard library's ``socket`` and ``sys``, so that it loads first.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 
 OPTION = "--listen-early"
 BACKLOG = 1024
-"""Connections that may wait until the program is loaded: some seconds of callers."""
+"""Backlog of connections that wait until the program is loaded: several seconds of traffic."""
 
 
 def listener(arguments: list[str]) -> socket.socket | None:
     """
-    Listen at the address that the program's arguments name.
+    Listen at the address given in the program's arguments.
 
-    Without one, or where the port can't be had, the program listens once it is loaded, and tells
-    then what is wrong with its settings.
+    Without an address, or if binding to it fails, return ``None``: the program then listens when
+    it is loaded, and reports errors in its settings.
 
     :param arguments: ``--listen-early HOST:PORT``, or nothing
     """
--- a/src/turmericlug/entry/live_settings.py
+++ b/src/turmericlug/entry/live_settings.py
@@ -1,4 +1,4 @@
-"""Settings that may change while an instance runs."""
+"""Reloading of settings while an instance runs."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 from turmericlug.entry import settings as settings_module
 from turmericlug.telemetry import decisions
 
-IN_FORCE_AT_ONCE = ("extra_ratio", "extra_slack", "quarantine", "grace_s")
-"""Keys of ``[policy]`` that are asked for anew at each use. Addresses and the length of the window
-decide what has been opened and counted already; they take effect at the next start."""
-LOOK_EVERY_S = 1.0
-"""The file may change without a signal. One question to the file system a second costs some tens
+RELOADABLE_KEYS = ("extra_ratio", "extra_slack", "quarantine", "grace_s")
+"""Keys of ``[policy]`` that take effect on a reload, since they are read at each use. Addresses and
+the length of the window determine sockets and counts that already exist, and take effect at the
+next start."""
+POLL_INTERVAL_S = 1.0
+"""The file may change without a signal, so it is polled; one ``stat`` call a second costs some tens
 of microseconds."""
 
-Version = tuple[int, int]
-"""When a file was written (ns) and its size: both, since clocks jump."""
+FileVersion = tuple[int, int]
+"""Modification time (ns) and size of a file; the size is included because clocks may jump."""
 
 
 class LiveSettings:
-    """The settings in force; what changes in the file is taken over as far as it can be."""
+    """The settings in force; reloads apply changes of the file to the keys that allow it."""
 
     def __init__(
         self,
@@ -33,25 +34,25 @@
         on_policy: abc.Callable[[settings_module.Policy], None] = lambda policy: None,
     ) -> None:
         """
-        Begin with the settings that the instance was started with.
+        Initialise with the settings that the instance was started with.
 
-        :param on_policy: told the policy each time it has changed
+        :param on_policy: called with the policy each time it has changed
         """
         self.policy = settings.policy
         self.on_policy = on_policy
         self._path = path
-        self._started_with = settings
+        self._initial = settings
         self._version = _version(path)
 
     def reload(self) -> None:
-        """Read the file anew; one that is wrong changes nothing."""
+        """Reload the file; a file with errors leaves the settings unchanged."""
         self._version = _version(self._path)
         try:
-            found = settings_module.load(self._path)
+            loaded = settings_module.load(self._path)
         except ini.SettingsError as error:
             decisions.log("instance.reload_failed", problems=error.problems)
             return
-        applied = {key: getattr(found.policy, key) for key in IN_FORCE_AT_ONCE}
+        applied = {key: getattr(loaded.policy, key) for key in RELOADABLE_KEYS}
         before = self.policy
         self.policy = attrs.evolve(before, **applied)
         if self.policy != before:
@@ -61,32 +62,32 @@
             in_force={
                 key: value for key, value in applied.items() if value != getattr(before, key)
             },
-            at_next_start=self._waiting(found),
+            at_next_start=self._pending_restart(loaded),
         )
 
-    def _waiting(self, found: settings_module.Settings) -> list[str]:
-        """Name what differs from the settings of the start and is not taken over."""
-        running = attrs.evolve(self._started_with, policy=self.policy)
+    def _pending_restart(self, loaded: settings_module.Settings) -> list[str]:
+        """Return the changed settings that only take effect at the next start."""
+        running = attrs.evolve(self._initial, policy=self.policy)
         return [
             f"{section}.{key}"
             for section, kind in settings_module.SECTIONS.items()
             for key in attrs.fields_dict(kind)
-            if getattr(getattr(found, section), key) != getattr(getattr(running, section), key)
+            if getattr(getattr(loaded, section), key) != getattr(getattr(running, section), key)
         ]
 
     async def watch(self) -> None:
-        """Reload whenever the file has changed, for ever."""
+        """Poll the file until cancelled, and reload it whenever it has changed."""
         while True:
-            await asyncio.sleep(LOOK_EVERY_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             version = _version(self._path)
             if version is not None and version != self._version:
                 self.reload()
 
 
-def _version(path: pathlib.Path) -> Version | None:
-    """Return the version of a file, ``None`` while there is none (it is being replaced)."""
+def _version(path: pathlib.Path) -> FileVersion | None:
+    """Return the version of a file, ``None`` while it is missing because it is being replaced."""
     try:
-        found = path.stat()
+        status = path.stat()
     except OSError:
         return None
-    return found.st_mtime_ns, found.st_size
+    return status.st_mtime_ns, status.st_size
--- a/src/turmericlug/entry/metrics.py
+++ b/src/turmericlug/entry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency percentiles as text, one metric a line."""
+"""Counters and latency percentiles as plain text, one metric per line."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def handler(counters: counters_module.Counters) -> messages.Handler:
-    """Return the handler of the metrics address."""
+    """Return the handler of the metrics endpoint."""
 
     async def handle(request: messages.Request) -> messages.Answer:
         if request.target.partition(b"?")[0] != PATH:
@@ -20,7 +20,7 @@
 
 
 def text(counters: counters_module.Counters) -> str:
-    """Write every counter and timer since the start."""
+    """Format all counters and timers since the start."""
     lines = [f"{_name(name)} {value}" for name, value in sorted(counters.totals.items())]
     for name, values in sorted(counters.timers_ms().items()):
         for key, value in values.items():
--- a/src/turmericlug/entry/settings.py
+++ b/src/turmericlug/entry/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry instance: INI, checked as a whole before the start."""
+"""Settings of an entry instance: an INI file, validated as a whole before the start."""
 
 from __future__ import annotations
 
@@ -26,44 +26,46 @@
 
 @attrs.frozen
 class Entry:
-    """Section ``[entry]``: who this instance is and where it listens."""
+    """Section ``[entry]``: the instance's identity and the addresses it listens at."""
 
     name: str = ini.key(ini.text, None, "unique name of this instance")
     data_centre: str = ini.key(ini.text, None, "data centre of this instance")
     region: str = ini.key(ini.text, None, "region of the data centre")
     data_centres: dict[str, str] = ini.key(_regions, None, "region of each data centre")
     callers_address: tuple[str, int] = ini.key(_address, None, "where callers connect")
-    ready_address: tuple[str, int] = ini.key(_address, None, "where readiness is asked")
-    directory_address: tuple[str, int] = ini.key(_address, None, "where addresses are asked")
+    ready_address: tuple[str, int] = ini.key(_address, None, "where the readiness check is served")
+    directory_address: tuple[str, int] = ini.key(
+        _address, None, "where the directory of addresses is served"
+    )
     peers_address: tuple[str, int] = ini.key(_address, None, "where other instances connect")
-    metrics_address: tuple[str, int] = ini.key(_address, None, "where metrics are read")
+    metrics_address: tuple[str, int] = ini.key(
+        _address, None, "where metrics and status are served"
+    )
 
 
 @attrs.frozen
 class Source:
-    """Section ``[source]``: where configuration and replicas are kept."""
+    """Section ``[source]``: the store of the configuration and the replicas."""
 
     address: tuple[str, int] = ini.key(_address, None, "the store's address")
 
 
 @attrs.frozen
 class Limits:
-    """Section ``[limits]``: what the process may use."""
+    """Section ``[limits]``: resource limits of the process."""
 
     descriptors: int = ini.key(ini.whole(256, 1 << 20), 4096, "file descriptors")
 
 
 @attrs.frozen
 class Policy:
-    """Section ``[policy]``: bounds that all instances share."""
-
-    extra_ratio: float = ini.key(ini.ratio(10.0), 0.2, "extra sends for each request")
-    extra_slack: float = ini.key(ini.ratio(1e6), 50.0, "extra sends in a window besides")
-    extra_window_s: float = ini.key(ini.ratio(3600.0), 10.0, "length of the window")
-    grace_s: float = ini.key(ini.ratio(3600.0), 6.0, "time from SIGTERM to the forced end")
-    quarantine: int = ini.key(
-        ini.whole(0, 1), 1, "1: requests under which replicas ended are held back"
-    )
+    """Section ``[policy]``: limits that apply to all instances together."""
+
+    extra_ratio: float = ini.key(ini.ratio(10.0), 0.2, "hedges and retries per request")
+    extra_slack: float = ini.key(ini.ratio(1e6), 50.0, "further hedges and retries in each window")
+    extra_window_s: float = ini.key(ini.ratio(3600.0), 10.0, "length of a window")
+    grace_s: float = ini.key(ini.ratio(3600.0), 6.0, "time from SIGTERM to forced termination")
+    quarantine: int = ini.key(ini.whole(0, 1), 1, "1: withhold requests that crash replicas")
 
 
 @attrs.frozen
@@ -86,7 +88,7 @@
 
 def load(path: pathlib.Path) -> Settings:
     """
-    Read and check a settings file.
+    Load and validate a settings file.
 
     :raises SettingsError: with every problem found, not only the first
     """
--- a/src/turmericlug/entry/stalls.py
+++ b/src/turmericlug/entry/stalls.py
@@ -1,4 +1,4 @@
-"""Noticing that this process stood still, by its own event loop."""
+"""Detection of stalls of this process, measured as the delay of its event loop."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 from turmericlug.telemetry import decisions
 
 TICK_S = 0.02
-"""Fifty wake-ups a second cost about a thousandth of a core."""
-TOLD_S = 0.05
-"""A stall that shows in callers' latency."""
-SLOW_PERCENTILE = 95
+"""Interval of the ticks; 50 wake-ups a second cost about a thousandth of a core."""
+LOG_THRESHOLD_S = 0.05
+"""Longer stalls are logged, since they are visible in callers' latency."""
+LAG_PERCENTILE = 95
 
 
-class Stalls:
-    """Tells for how long the event loop did not turn before the present turn."""
+class StallMonitor:
+    """Measures for how long the event loop was blocked before its current iteration."""
 
     def __init__(self) -> None:
         self._ticked_s = asyncio.get_running_loop().time()
         self._lags = policy.RecentTimes()
 
     async def watch(self) -> None:
-        """Tick for ever."""
+        """Tick until cancelled, and log stalls."""
         loop = asyncio.get_running_loop()
         while True:
             late_s = self.overdue_s()
             self._lags.add(late_s * 1000)
-            if late_s > TOLD_S:
+            if late_s > LOG_THRESHOLD_S:
                 decisions.log("instance.stalled", stood_ms=round(late_s * 1000))
             self._ticked_s = loop.time()
             await asyncio.sleep(TICK_S)
 
     def lag_ms(self) -> float | None:
-        """Return how late a slow tick of the last seconds was; ``None`` before there are enough."""
-        return self._lags.percentile_ms(SLOW_PERCENTILE)
+        """Return a high percentile of the last ticks' delays; ``None`` while there are too few."""
+        return self._lags.percentile_ms(LAG_PERCENTILE)
 
     def overdue_s(self) -> float:
-        """Return how late the tick is that should have come by now."""
+        """Return for how long the next tick is overdue, 0 if it is not due yet."""
         late_s = asyncio.get_running_loop().time() - self._ticked_s - TICK_S
         return max(late_s, 0.0)
--- a/src/turmericlug_entry.py
+++ b/src/turmericlug_entry.py
@@ -1,4 +1,8 @@
-"""Program of an entry instance: ``src`` becomes the first folder on the path, not the package."""
+"""
+Program of an entry instance.
+
+It is located outside the package so that ``src``, not the package's folder, is first on the path.
+"""
 
 from __future__ import annotations
 
--- a/tests/entry/test_beliefs.py
+++ b/tests/entry/test_beliefs.py
@@ -1,4 +1,4 @@
-"""What an instance tells an operator of its beliefs."""
+"""Inspection of an instance's state by operators."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 CONFIGURATION = routes.Configuration(7, (ROUTE,), {}, messages.Limits())
 
 
-class NoPool:
+class IdlePool:
     waiting = open_count = opened = opened_ahead = 0
     has_idle = True
 
@@ -35,13 +35,13 @@
     return news.Written(key, value, 1)
 
 
-def ask(target, snapshot=(), method=b"GET", held=()):
-    """Ask an instance that has read a snapshot; returns the status and the told beliefs."""
+def ask(target, snapshot=(), method=b"GET", withheld=()):
+    """Send a request to an instance that has read a snapshot; return the status and the reply."""
 
     async def main():
         loop = asyncio.get_running_loop()
         replicas, peers = (
-            replicas_module.Replicas(lambda entry: NoPool(), scripted.PLACE, budget.Allowance())
+            replicas_module.Replicas(lambda entry: IdlePool(), scripted.PLACE, budget.Allowance())
             for _ in range(2)
         )
         view = view_module.View("e-1", replicas, peers, loop.time)
@@ -50,7 +50,7 @@
             view.take_snapshot(news.Snapshot(tuple(snapshot), 1))
             replicas.of("x")[1].ejected_until_s = loop.time() + 60
         quarantine = quarantine_module.Quarantine(counters.Counters(), loop.time)
-        for number, request in enumerate(held):
+        for number, request in enumerate(withheld):
             for replica in ("r1", "r2", "r3"):
                 quarantine.book.ended(request, replica, loop.time(), on_trial=bool(number))
         handle = beliefs.handler("e-1", view, lambda: view.ready, quarantine)
@@ -70,41 +70,41 @@
 
 
 def test_status():
-    status, told = ask(b"/status", SNAPSHOT)
+    status, reply = ask(b"/status", SNAPSHOT)
     assert status == 200
-    assert (told["ready"], told["configuration_version"]) == (True, 7)
-    assert told["replicas"] == {"in use": 1, "leaving": 1, "set aside": 1}
-    assert told["instances"] == ["e-2"]
+    assert (reply["ready"], reply["configuration_version"]) == (True, 7)
+    assert reply["replicas"] == {"in use": 1, "leaving": 1, "set aside": 1}
+    assert reply["instances"] == ["e-2"]
 
 
-def test_status_tells_what_is_evacuated_and_what_is_cold():
+def test_status_lists_evacuated_data_centres_and_cold_replicas():
     cold = attrs.evolve(scripted.entry("x1", "x"), warmup_left_ms=60_000.0)
     evacuated = news.Written("v/dc-2", news.Evacuation("dc-2"), 1)
-    _, told = ask(b"/status", [written("r/x1", cold), *SNAPSHOT[2:], evacuated])
-    assert told["evacuated_age_s"].keys() == {"dc-2"}
-    assert told["cold_left_s"].keys() == {"x1"}
+    _, reply = ask(b"/status", [written("r/x1", cold), *SNAPSHOT[2:], evacuated])
+    assert reply["evacuated_age_s"].keys() == {"dc-2"}
+    assert reply["cold_left_s"].keys() == {"x1"}
 
 
 @pytest.mark.parametrize("regions", [None, [], ["q", "r"]], ids=str)
-def test_explain_tells_the_regions_of_a_route(regions):
-    bound = regions if regions is None else frozenset(regions)
-    route = attrs.evolve(CONFIGURATION.routes[0], regions=bound)
+def test_explain_lists_the_regions_of_a_route(regions):
+    restricted = regions if regions is None else frozenset(regions)
+    route = attrs.evolve(CONFIGURATION.routes[0], regions=restricted)
     configuration = attrs.evolve(CONFIGURATION, routes=(route,))
     snapshot = [written("config", configuration), *SNAPSHOT[1:]]
     assert ask(b"/explain?host=h&path=/a/1", snapshot)[1]["route"]["regions"] == regions
 
 
-def test_status_before_the_first_reading():
-    _, told = ask(b"/status")
-    assert (told["ready"], told["configuration_version"], told["source_age_s"]) == (False,) + (
+def test_status_before_the_first_snapshot():
+    _, reply = ask(b"/status")
+    assert (reply["ready"], reply["configuration_version"], reply["source_age_s"]) == (False,) + (
         None,
     ) * 2
 
 
-def test_explain_names_the_route_and_its_replicas_best_first():
-    _, told = ask(b"/explain?host=h&path=/a/1", SNAPSHOT)
-    assert told["route"]["name"] == "r"
-    assert [(each["replica"], each["state"]) for each in told["replicas"]] == [
+def test_explain_lists_the_replicas_of_the_route_best_first():
+    _, reply = ask(b"/explain?host=h&path=/a/1", SNAPSHOT)
+    assert reply["route"]["name"] == "r"
+    assert [(each["replica"], each["state"]) for each in reply["replicas"]] == [
         ("x1", "in use"),
         ("x2", "set aside"),
         ("y1", "leaving"),
@@ -115,28 +115,28 @@
     ("target", "status"),
     [(b"/explain?host=h&path=/b/", 200), (b"/explain?host=h", 400), (b"/other", 404)],
 )
-def test_questions_without_an_answer(target, status):
-    found, told = ask(target, SNAPSHOT)
-    assert found == status
-    assert told is None or told["route"] is None
+def test_requests_without_a_result(target, status):
+    found_status, reply = ask(target, SNAPSHOT)
+    assert found_status == status
+    assert reply is None or reply["route"] is None
 
 
-def test_the_requests_that_are_held_back():
-    status, told = ask(b"/quarantine", held=[b"a", b"b"])
+def test_withheld_requests():
+    status, reply = ask(b"/quarantine", withheld=[b"a", b"b"])
     assert status == 200
-    found = {each["content"]: each for each in told["requests"]}
-    assert {each: found[each]["verdict"] for each in found} == {
+    by_content = {each["content"]: each for each in reply["requests"]}
+    assert {each: by_content[each]["verdict"] for each in by_content} == {
         b"a".hex(): "suspected",
         b"b".hex(): "quarantined",
     }
-    assert found[b"a".hex()]["ends"].keys() == {"r1", "r2", "r3"}
-    assert found[b"a".hex()]["quarantined_age_s"] is None
+    assert by_content[b"a".hex()]["ends"].keys() == {"r1", "r2", "r3"}
+    assert by_content[b"a".hex()]["quarantined_age_s"] is None
 
 
 @pytest.mark.parametrize(
     ("method", "content", "status"),
     [(b"POST", b"61", 200), (b"POST", b"62", 404), (b"POST", b"zz", 400), (b"GET", b"61", 404)],
-    ids=["held back", "not held back", "no content", "only asked"],
+    ids=["withheld", "not withheld", "malformed content", "wrong method"],
 )
-def test_an_operator_allows_a_request(method, content, status):
-    assert ask(b"/quarantine/" + content, method=method, held=[b"a"])[0] == status
+def test_lifting_a_withheld_request(method, content, status):
+    assert ask(b"/quarantine/" + content, method=method, withheld=[b"a"])[0] == status
--- a/tests/entry/test_directory.py
+++ b/tests/entry/test_directory.py
@@ -1,4 +1,4 @@
-"""Which instances callers are told."""
+"""Selection of the addresses that callers may connect to."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         (["q/f/4"], ["q/f/4"]),
         ([], []),
     ],
-    ids=["own data centre", "region", "a second choice", "elsewhere", "the only one", "none"],
+    ids=["own data centre", "own region", "failover", "other region", "only one", "none"],
 )
 def test_addresses(instances, expected):
     assert make_directory(*instances).addresses("r", "d") == expected
@@ -51,29 +51,32 @@
         (["q/f/4", "p/g/5"], [None, {"p"}], ["p/g/5"]),
     ],
     ids=[
-        "second choice in an allowed region",
-        "own region alone",
-        "an allowed region alone",
+        "failover in an allowed region",
+        "only the own region",
+        "only an allowed region",
         "allowed by both routes",
         "allowed by one of them",
-        "none runs in an allowed region",
-        "one route is not bound",
+        "no instance in an allowed region",
+        "one route is not restricted",
     ],
 )
-def test_callers_of_bound_routes_are_told_their_own_or_an_allowed_region(
+def test_restricted_hosts_get_instances_of_their_own_or_an_allowed_region(
     instances, regions, expected
 ):
-    """Callers whose data centre was short of instances were told those of every region."""
-    found = make_directory(*instances)
-    bound = tuple(
+    """
+    Guards against disregarding a route's regions. Callers whose data centre had too few instances
+    got the addresses of instances in every region.
+    """
+    tested = make_directory(*instances)
+    restricted = tuple(
         routes.Route(
             f"r{number}", "h", f"/{number}/", True, 1.0, 1.0, 1, 1, regions=each and frozenset(each)
         )
         for number, each in enumerate(regions)
     )
-    found.view.configuration = routes.Configuration(1, bound, {}, messages.Limits())
-    assert found.addresses("r", "d", "H") == expected
-    assert len(found.addresses("r", "d", "another host")) == len(instances)
+    tested.view.configuration = routes.Configuration(1, restricted, {}, messages.Limits())
+    assert tested.addresses("r", "d", "H") == expected
+    assert len(tested.addresses("r", "d", "another host")) == len(instances)
 
 
 @pytest.mark.parametrize(
@@ -83,20 +86,20 @@
         (["r/d/1", "r/d/2", "r/e/3"], ["r/d/2", "r/e/3"]),
         (["r/d/1"], ["r/d/1"]),
     ],
-    ids=["others", "a second choice", "nobody else"],
+    ids=["others in its data centre", "failover", "no other instance"],
 )
-def test_an_instance_that_leaves_does_not_send_callers_to_itself(instances, expected):
+def test_a_draining_instance_omits_itself(instances, expected):
     """
-    An instance is stopped and answers callers that ask where to connect until its end, itself among
-    the addresses. They come again and again, and are refused late in its grace period.
+    A draining instance serves the directory until it exits. If it lists itself, callers keep
+    connecting to it and are refused late in its grace period.
     """
-    found = make_directory(*instances)
-    found.own_name = "r/d/1"
-    assert "r/d/1" in found.addresses("r", "d")
-    found.leaving = lambda: True
-    assert found.addresses("r", "d") == expected
+    tested = make_directory(*instances)
+    tested.own_name = "r/d/1"
+    assert "r/d/1" in tested.addresses("r", "d")
+    tested.leaving = lambda: True
+    assert tested.addresses("r", "d") == expected
 
 
-def test_at_most_so_many():
+def test_the_number_of_addresses_is_limited():
     instances = [f"r/d/{number:03d}" for number in range(200)]
-    assert len(make_directory(*instances).addresses("r", "d")) == directory.MOST
+    assert len(make_directory(*instances).addresses("r", "d")) == directory.MAX_ADDRESSES
--- a/tests/entry/test_early.py
+++ b/tests/entry/test_early.py
@@ -1,4 +1,4 @@
-"""Listening for callers before the rest of the program is loaded."""
+"""Listening for callers before the rest of the program is loaded, and what a start imports."""
 
 from __future__ import annotations
 
@@ -24,10 +24,11 @@
         return found.getsockname()
 
 
-def test_a_request_sent_before_the_program_is_loaded_is_answered():
+def test_a_request_sent_while_the_program_loads_is_answered():
     """
-    All instances lose power and are back; each takes 0.2 s to load its program. Callers that come
-    in this time are refused by every address that they try, and have no answer at all.
+    After a power loss all instances restart, and each takes 0.2 s to load its program. Without a
+    listening port, callers are refused at every address that they try in this time, and get no
+    answer.
     """
     host, port = free_address()
     listener = early.listener([early.OPTION, f"{host}:{port}"])
@@ -40,20 +41,20 @@
         exchange = asyncio.create_task(
             connection.exchange(client.request_bytes(b"GET", b"/", [(b"host", b"h")], b""))
         )
-        # The program is being loaded: nothing takes connections yet.
+        # The program is still loading: no connection is accepted yet.
         await asyncio.sleep(0.02)
         assert not exchange.done()
-        entrance = server.Server(handler, messages.Limits, 10)
-        listening = await server.listen(entrance, host, port, listener)
+        http_server = server.Server(handler, messages.Limits, 10)
+        asyncio_server = await server.listen(http_server, host, port, listener)
         assert (await exchange).body == b"good"
-        entrance.close()
-        listening.close()
+        http_server.close()
+        asyncio_server.close()
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize(
-    ("arguments", "told"),
+    ("arguments", "message"),
     [
         ([], ""),
         (["serve"], ""),
@@ -64,9 +65,9 @@
         ([early.OPTION, "192.0.2.1:8080"], "not listening early at 192.0.2.1:8080"),
     ],
 )
-def test_without_an_address_that_can_be_had_the_program_listens_later(arguments, told, capsys):
+def test_no_early_listener_without_a_usable_address(arguments, message, capsys):
     assert early.listener(arguments) is None
-    assert told in capsys.readouterr().err
+    assert message in capsys.readouterr().err
 
 
 @pytest.mark.parametrize(
@@ -79,10 +80,10 @@
         ),
     ],
 )
-def test_what_a_start_loads(module, unwanted):
+def test_modules_imported_at_the_start(module, unwanted):
     """
-    Something that only operators need is imported by the instance. Each restart takes longer by it,
-    and after a loss of power of all instances nobody is served in that time.
+    An import that only operators' commands need makes each restart of an instance slower. After a
+    power loss of all instances, no caller is served during that time.
     """
     program = f"import sys, {module}; print(*sys.modules)"
     done = subprocess.run(
--- a/tests/entry/test_entry_settings.py
+++ b/tests/entry/test_entry_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry instance, and the template that renders them."""
+"""Settings of an entry instance and the template that they are rendered from."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def render(**changes):
-    """Fill the template in as the platform does."""
+    """Render the template as the platform does."""
     fields = PLATFORM | changes
     text = TEMPLATE.read_text()
     pairs = ",".join(f"{zone}={region}" for zone, region in ZONES.items())
@@ -45,7 +45,7 @@
     return settings_module.load(path)
 
 
-def test_the_template_renders_usable_settings(tmp_path):
+def test_the_template_renders_valid_settings(tmp_path):
     settings = load(tmp_path, render())
     assert settings.entry.callers_address == ("10.1.0.9", 8104)
     assert settings.entry.data_centres == ZONES
--- a/tests/entry/test_stalls.py
+++ b/tests/entry/test_stalls.py
@@ -1,4 +1,4 @@
-"""Noticing that the event loop stood still."""
+"""Detection of a blocked event loop."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from turmericlug.entry import stalls as stalls_module
 
 
-def stand_still():
+def block_event_loop():
     time.sleep(0.2)
 
 
-def test_a_stall_is_noticed_in_the_turn_after_it():
+def test_a_stall_is_detected_in_the_next_iteration():
     async def main():
-        stalls = stalls_module.Stalls()
-        task = asyncio.create_task(stalls.watch())
+        monitor = stalls_module.StallMonitor()
+        task = asyncio.create_task(monitor.watch())
         await asyncio.sleep(0)
-        stand_still()
-        assert stalls.overdue_s() > 0.15
+        block_event_loop()
+        assert monitor.overdue_s() > 0.15
         await asyncio.sleep(0.001)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -26,19 +26,22 @@
     asyncio.run(main())
 
 
-def test_the_lag_of_slow_turns_is_known_after_some_ticks():
-    """Time for the way of an answer was kept as if the event loop always turned at once."""
+def test_the_lag_is_known_after_several_ticks():
+    """
+    Guards against ignoring the event loop's lag. The time reserved for delivering an answer used to
+    assume that the event loop never lags.
+    """
 
     async def main():
-        stalls = stalls_module.Stalls()
-        assert stalls.lag_ms() is None
-        task = asyncio.create_task(stalls.watch())
+        monitor = stalls_module.StallMonitor()
+        assert monitor.lag_ms() is None
+        task = asyncio.create_task(monitor.watch())
         for _ in range(10):
             await asyncio.sleep(stalls_module.TICK_S / 2)
-            stand_still()
+            block_event_loop()
         await asyncio.sleep(stalls_module.TICK_S * 12)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        return stalls.lag_ms()
+        return monitor.lag_ms()
 
     assert asyncio.run(main()) > 15
--- a/tests/entry_process.py
+++ b/tests/entry_process.py
@@ -1,4 +1,4 @@
-"""An entry instance as a real process: its settings, start, signals and lines."""
+"""An entry instance as a separate process: its settings, start, signals and log lines."""
 
 from __future__ import annotations
 
@@ -36,23 +36,23 @@
 
 @attrs.define
 class Instance:
-    """An entry instance that can be started again and again on the same ports."""
+    """An entry instance that can be started repeatedly on the same ports."""
 
     name: str
     settings: pathlib.Path
     ports: list[int]
-    """Of callers, readiness, directory, metrics and peers."""
+    """Ports for callers, readiness, directory, metrics and peers, in this order."""
     process: asyncio.subprocess.Process | None = None
     leaving: bool = False
-    """Whether something is happening to it."""
+    """Whether a test is stopping, killing or restarting it."""
 
     @property
     def log(self):
-        """The file that its lines go to."""
+        """The file that receives its log lines."""
         return self.settings.with_suffix(".log")
 
     async def start(self):
-        """Start the program; its lines go to a file beside its settings."""
+        """Start the program; its output goes to a file next to its settings."""
         with self.log.open("ab") as output:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -64,7 +64,7 @@
         self.leaving = False
 
     def signal(self, number):
-        """Send a signal to the process, if it runs."""
+        """Send a signal to the process if it is running."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
@@ -75,7 +75,7 @@
 
 
 def make(folder, name, store_port, regions=None, data_centre="dc-1", grace_s=3.0):
-    """Write the settings of an instance and return it, not yet started."""
+    """Write the settings of an instance and return the instance without starting it."""
     regions = regions or {"dc-1": "r-1"}
     instance = Instance(name, folder / f"{name}.ini", fleet_spec.free_ports(5))
     text = _SETTINGS.format(
@@ -92,7 +92,7 @@
 
 
 async def ask(port, target, request_id, headers=(), method=b"GET", body=b""):
-    """Send one request on a connection of its own."""
+    """Send one request on a new connection."""
     connection = await client.connect("127.0.0.1", port)
     try:
         pairs = [(b"host", b"h.example"), (b"x-request-id", request_id), *headers]
@@ -102,7 +102,7 @@
 
 
 async def until(condition, limit_s=20.0):
-    """Wait for a condition, given as a function or a coroutine function."""
+    """Wait until a condition, a function or coroutine function, returns a true value."""
     async with asyncio.timeout(limit_s):
         while True:
             found = condition()
@@ -114,7 +114,7 @@
 
 
 async def ready(instance):
-    """Whether the instance says that it is ready."""
+    """Whether the instance reports that it is ready."""
     try:
         return (await ask(instance.ports[1], b"/turmericlug/ready", b"r")).status == 200
     except (client.ConnectError, client.ExchangeError):
--- a/tests/mortal.py
+++ b/tests/mortal.py
@@ -1,4 +1,4 @@
-"""Replicas that end when they run a certain request, and start again under another name."""
+"""Replicas that crash when they run a certain request, and restart under another name."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 LETHAL = b"lethal"
 AWAY_S = 0.6
-"""Time from a replica's end to its next start."""
+"""Time from a replica's crash to its restart."""
 RUN_S = 0.02
 
 
 class Mortal:
-    """A place where one replica after the other runs."""
+    """A slot in which replicas run one after the other, each until it crashes."""
 
     def __init__(self, service, number, store, reached):
         self.service, self.number, self.store, self.reached = service, number, store, reached
@@ -26,7 +26,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self):
-        """Run replicas until the block ends."""
+        """Run replicas for the duration of the context."""
         work = asyncio.create_task(self._run())
         try:
             yield
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -389,7 +389,7 @@
         "entry/live_settings.py",
         "        self.policy = attrs.evolve(before, **applied)\n",
         "",
-        "entry/test_live_settings.py::test_what_is_taken_over",
+        "entry/test_live_settings.py::test_reload_applies_the_reloadable_keys",
     ),
     mutant.one(
         "no-slow-start",
@@ -446,7 +446,7 @@
         "entry/early.py",
         "        early.listen(BACKLOG)\n",
         "",
-        "entry/test_early.py::test_a_request_sent_before_the_program_is_loaded_is_answered",
+        "entry/test_early.py::test_a_request_sent_while_the_program_loads_is_answered",
     ),
     mutant.one(
         "refuse-before-the-first-snapshot",
@@ -498,11 +498,11 @@
         "policy/test_slow_start.py::test_what_would_wait_beyond_its_deadline_is_refused",
     ),
     mutant.one(
-        "leaving-instance-tells-itself",
+        "draining-instance-lists-itself",
         "entry/directory.py",
         "if not (self.leaving() and each.name == self.own_name)",
         "if each.name",
-        "entry/test_directory.py::test_an_instance_that_leaves_does_not_send_callers_to_itself",
+        "entry/test_directory.py::test_a_draining_instance_omits_itself",
     ),
     mutant.one(
         "refuse-all-when-leaving",
@@ -618,11 +618,11 @@
         "platform/test_fields.py::test_regions_of_a_route_never_widen",
     ),
     mutant.one(
-        "tell-instances-of-any-region",
+        "list-instances-of-any-region",
         "entry/directory.py",
-        "        anywhere = self._allowed(instances, region, host) or instances",
+        "        anywhere = self._in_allowed_regions(instances, region, host) or instances",
         "        anywhere = instances",
-        "entry/test_directory.py::test_callers_of_bound_routes_are_told_their_own_or_an_allowed"
+        "entry/test_directory.py::test_restricted_hosts_get_instances_of_their_own_or_an_allowed"
         "_region",
     ),
     mutant.one(
