--- a/src/turmericlug/telemetry/decisions.py
+++ b/src/turmericlug/telemetry/decisions.py
@@ -1,9 +1,9 @@
 """
-Decision lines: one JSON object a line on standard output, bounded and never blocking.
+The decision log: one JSON object per line on standard output, rate-limited and non-blocking.
 
-absl.logging writes each record at once and blocks on a full pipe; a reader that stalls would stop
-every query. Here lines wait in a bounded buffer, leave together, and are dropped and counted when
-the reader doesn't keep up.
+absl.logging writes each record immediately and blocks on a full pipe, so a stalled reader would
+block every query. This module collects lines in a bounded buffer, writes them in batches, and drops
+and counts lines when the reader does not keep up.
 """
 
 from __future__ import annotations
@@ -16,18 +16,19 @@
 import time
 import typing
 
-KEEP_PER_S = {"query.routed": 50, "query.answered": 20, "send.hedged": 20}
-"""Lines a second of the events of served queries; the first of a second stand for the others."""
-DEFAULT_PER_S = 100
-"""Lines a second of any other event: refusals and failures are kept before served queries."""
-BUFFER_BYTES = 256 * 1024
-"""About a second of lines at the highest rate of all events together."""
-FLUSH_S = 0.1
-"""One write call for all lines of this time: a call for each line cost more than the line."""
+EVENT_LIMITS_PER_S = {"query.routed": 50, "query.answered": 20, "send.hedged": 20}
+"""Lines per second for events of served queries; the first ones in a second are a sample."""
+DEFAULT_LIMIT_PER_S = 100
+"""Lines per second for any other event; refusals and failures have priority over served queries."""
+MAX_BUFFER_BYTES = 256 * 1024
+"""About one second of lines when all events reach their limit."""
+FLUSH_DELAY_S = 0.1
+"""Time for which lines are collected for one write call; a call per line cost more than the line
+itself."""
 
 
 class Writer:
-    """The buffer in front of one descriptor."""
+    """Rate-limited, buffered writer of log lines to a file descriptor."""
 
     def __init__(self, descriptor: int, instance: str) -> None:
         self._descriptor = descriptor
@@ -37,31 +38,31 @@
         self._second = 0
         self._counts: collections.Counter[str] = collections.Counter()
         self._timer: asyncio.TimerHandle | None = None
-        self.left_out: collections.Counter[str] = collections.Counter()
+        self.suppressed: collections.Counter[str] = collections.Counter()
         self.dropped = 0
 
     def write(self, event: str, fields: dict[str, typing.Any]) -> None:
-        """Buffer a line, unless its event has had its lines of this second."""
+        """Buffer a line unless its event has reached its limit for this second."""
         now_s = time.time()
         if int(now_s) != self._second:
             self._second = int(now_s)
             self._counts.clear()
         self._counts[event] += 1
-        if self._counts[event] > KEEP_PER_S.get(event, DEFAULT_PER_S):
-            self.left_out[event] += 1
+        if self._counts[event] > EVENT_LIMITS_PER_S.get(event, DEFAULT_LIMIT_PER_S):
+            self.suppressed[event] += 1
             return
-        if self.left_out[event]:
-            fields["left_out_before"] = self.left_out.pop(event)
+        if self.suppressed[event]:
+            fields["left_out_before"] = self.suppressed.pop(event)
         head = {"time_s": round(now_s, 4), "instance": self._instance, "event": event}
-        line = json.dumps(head | fields, default=_plain, separators=(",", ":")).encode() + b"\n"
-        if self._size + len(line) > BUFFER_BYTES:
+        line = json.dumps(head | fields, default=_to_text, separators=(",", ":")).encode() + b"\n"
+        if self._size + len(line) > MAX_BUFFER_BYTES:
             self.dropped += 1
             return
         self._lines.append(line)
         self._size += len(line)
-        self._flush_soon()
+        self._schedule_flush()
 
-    def _flush_soon(self) -> None:
+    def _schedule_flush(self) -> None:
         if self._timer is not None:
             return
         try:
@@ -69,10 +70,10 @@
         except RuntimeError:
             self.flush()
             return
-        self._timer = loop.call_later(FLUSH_S, self.flush)
+        self._timer = loop.call_later(FLUSH_DELAY_S, self.flush)
 
     def flush(self) -> None:
-        """Hand over what fits; the rest stays for the next time."""
+        """Write as much as the descriptor accepts; the rest stays buffered."""
         self._timer = None
         if not self._lines:
             return
@@ -84,19 +85,19 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads any more: there is no one left to tell.
+            # Typically the reader has closed the pipe; there is nowhere to report the error.
             self.dropped += data.count(b"\n")
             return
         if written < len(data):
-            self._keep_rest(data[written:])
+            self._requeue(data[written:])
 
-    def _keep_rest(self, rest: bytes) -> None:
+    def _requeue(self, rest: bytes) -> None:
         self._lines.appendleft(rest)
         self._size = len(rest)
-        self._flush_soon()
+        self._schedule_flush()
 
 
-def _plain(value: typing.Any) -> str:
+def _to_text(value: typing.Any) -> str:
     return value.decode("latin-1") if isinstance(value, bytes) else str(value)
 
 
@@ -104,7 +105,7 @@
 
 
 def setup(instance: str) -> Writer:
-    """Send lines to standard output from now on, without ever waiting for its reader."""
+    """Start logging to standard output, which becomes non-blocking."""
     global _writer
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
@@ -116,14 +117,14 @@
     """
     Log one decision.
 
-    :param event: its name, in dotted lower case
-    :param fields: what decided it; a unit is part of the field's name
+    :param event: event name in dotted lower case
+    :param fields: inputs of the decision; units are part of the field names
     """
     if _writer is not None:
         _writer.write(event, fields)
 
 
 def flush() -> None:
-    """Hand over what is buffered: before the process ends."""
+    """Write buffered lines, before the process exits."""
     if _writer is not None:
         _writer.flush()
--- a/src/turmericlug/telemetry/events.py
+++ b/src/turmericlug/telemetry/events.py
@@ -17,12 +17,12 @@
 
 def setup(instance: str) -> None:
     """
-    Send one JSON object per event to standard error.
+    Write one JSON object per event to standard error.
 
-    :param instance: the name that each line carries
+    :param instance: instance name to include in each line
     """
-    # Our programs read no absl flags; unless that is said, the library prints a line that is no
-    # JSON before the first.
+    # The programs don't parse absl flags. Unless flags are marked as parsed, absl prints a warning
+    # that is not JSON before the first line.
     flags.FLAGS.mark_as_parsed()
     handler = logging.get_absl_handler()
     handler.setFormatter(_JsonFormatter(instance))
@@ -36,47 +36,47 @@
     """
     Log one event.
 
-    :param event: its name, in dotted lower case
+    :param event: event name in dotted lower case
     :param level: ``info``, ``warning`` or ``error``
-    :param fields: what happened; a unit is part of the field's name
+    :param fields: details of the event; units are part of the field names
     """
-    number = _LEVELS[level]
-    if logging.get_verbosity() >= number:
-        logging.log(number, "%s", json.dumps({"event": event, **fields}, default=str))
+    severity = _LEVELS[level]
+    if logging.get_verbosity() >= severity:
+        logging.log(severity, "%s", json.dumps({"event": event, **fields}, default=str))
 
 
 class Limiter:
-    """Lets only so many lines of each kind through per second, and counts the others."""
+    """Limits the lines of each event per second, and counts the suppressed ones."""
 
-    def __init__(self, most_per_s: int, now_s: abc.Callable[[], float] = time.monotonic) -> None:
-        self._most_per_s = most_per_s
+    def __init__(self, max_per_s: int, now_s: abc.Callable[[], float] = time.monotonic) -> None:
+        self._max_per_s = max_per_s
         self._now_s = now_s
         self._second = 0
         self._counts: collections.Counter[str] = collections.Counter()
 
     def emit(self, event: str, level: str = "info", **fields: typing.Any) -> None:
         """
-        Log an event that callers can bring about at any rate.
+        Log an event that callers can cause at any rate.
 
-        Under overload thousands of refusals a second would cost more than the queries. What was
-        left out is told with the first line of a later second.
+        Under overload, logging thousands of refusals per second would cost more than the queries.
+        The first line of a later second reports the number of suppressed lines.
         """
         second = int(self._now_s())
         if second != self._second:
             suppressed = sum(self._counts.values()) - sum(
-                min(count, self._most_per_s) for count in self._counts.values()
+                min(count, self._max_per_s) for count in self._counts.values()
             )
             self._second = second
             self._counts.clear()
             if suppressed:
                 fields["suppressed_before"] = suppressed
         self._counts[event] += 1
-        if self._counts[event] <= self._most_per_s:
+        if self._counts[event] <= self._max_per_s:
             emit(event, level, **fields)
 
 
 class _JsonFormatter(std_logging.Formatter):
-    """Wraps each record in a JSON object, also those that libraries emit."""
+    """Formats each record as a JSON object, including records emitted by libraries."""
 
     def __init__(self, instance: str) -> None:
         super().__init__()
--- a/tests/telemetry/test_counters.py
+++ b/tests/telemetry/test_counters.py
@@ -17,11 +17,11 @@
         text = path.read_text()
         names |= {re.sub(r"\{.*", "*", name) for name in USE.findall(text)}
         names |= set(TOTALS.findall(text))
-    # Names chosen by a condition, both of which stand in one call.
+    # Without a dot, the match is not a metric name: add() and gauge() have other uses, too.
     return {name for name in names if "." in name}
 
 
-def test_every_metric_is_named_once():
+def test_every_metric_is_in_the_list_of_names():
     wildcards = {name[:-1] for name in counters.NAMES if name.endswith("*")}
     for name in used():
         known = name in counters.NAMES or any(
@@ -36,7 +36,7 @@
     assert listed == set(counters.NAMES)
 
 
-def test_metrics_reach_statsd():
+def test_metrics_are_sent_to_statsd():
     server = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     server.bind(("127.0.0.1", 0))
     server.settimeout(5)
--- a/tests/telemetry/test_events.py
+++ b/tests/telemetry/test_events.py
@@ -6,7 +6,7 @@
 from turmericlug.telemetry import events
 
 
-def test_limiter_counts_what_it_leaves_out(monkeypatch):
+def test_limiter_counts_suppressed_lines(monkeypatch):
     lines, now_s = [], [5.0]
     monkeypatch.setattr(events, "emit", lambda event, level, **fields: lines.append(fields))
     limiter = events.Limiter(3, lambda: now_s[0])
@@ -19,7 +19,7 @@
     assert lines[-1]["suppressed_before"] == 7
 
 
-def test_lines_are_json_objects():
+def test_log_lines_are_json_objects():
     formatter = events._JsonFormatter("e1")
     record = logging.LogRecord("x", logging.INFO, "p", 1, '{"event": "a", "n_ms": 1}', (), None)
     line = json.loads(formatter.format(record))
