--- a/src/turmericlug/entry/beliefs.py
+++ b/src/turmericlug/entry/beliefs.py
@@ -92,7 +92,7 @@
 def list_withheld(quarantine: quarantine_module.Quarantine) -> list[WithheldRequest]:
     """Return the withheld requests, the one with the latest crash first."""
     now_s = asyncio.get_running_loop().time()
-    found = [
+    requests = [
         WithheldRequest(
             request.hex(),
             record.verdict(now_s).value,
@@ -101,7 +101,7 @@
         )
         for request, record in quarantine.book.held(now_s)
     ]
-    return sorted(found, key=lambda each: min(each.ends.values(), default=0.0))
+    return sorted(requests, key=lambda each: min(each.ends.values(), default=0.0))
 
 
 def _lift(quarantine: quarantine_module.Quarantine, content: bytes) -> messages.Answer:
@@ -166,7 +166,7 @@
     view: view_module.View, route: routes.Route, service: str
 ) -> list[ReplicaStatus]:
     now_s = asyncio.get_running_loop().time()
-    found = [
+    statuses = [
         ReplicaStatus(
             each.entry.instance,
             service,
@@ -177,7 +177,7 @@
         )
         for each in view.replicas.of(service)
     ]
-    return sorted(found, key=lambda each: (each.state != "in use", each.expected_ms))
+    return sorted(statuses, key=lambda each: (each.state != "in use", each.expected_ms))
 
 
 def _state(replica: replica_module.Replica, now_s: float) -> str:
--- a/src/turmericlug/entry/callers.py
+++ b/src/turmericlug/entry/callers.py
@@ -237,8 +237,8 @@
         began_s = loop.time()
         try:
             result = await answering.all_shards(self.sender, call)
-            caller_gets_s = loop.time() + call.way_back_s
-            in_time = result.answer.status == 200 and caller_gets_s <= call.goal_at_s
+            received_s = loop.time() + call.way_back_s
+            in_time = result.answer.status == 200 and received_s <= call.goal_at_s
             return result
         finally:
             self._slow_start.end(loop.time(), loop.time() - began_s, in_time)
--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -156,7 +156,7 @@
     loop = asyncio.get_running_loop()
     settings, counters = kernel.find("settings"), kernel.find("counters")
 
-    stated_idle: dict[str, pool_module.StatedIdle] = collections.defaultdict(pool_module.StatedIdle)
+    keep_alive: dict[str, pool_module.StatedIdle] = collections.defaultdict(pool_module.StatedIdle)
 
     def connection_limit(entry: routes.ReplicaEntry) -> int:
         configuration = view.configuration
@@ -180,7 +180,7 @@
             connect,
             functools.partial(connection_limit, entry),
             loop.time,
-            stated_idle=stated_idle[entry.service],
+            stated_idle=keep_alive[entry.service],
         )
 
     def make_peer_pool(entry: routes.ReplicaEntry) -> pool_module.Pool:
@@ -292,11 +292,11 @@
         sender.rng,
     )
     kernel.provide("teller", gossip)
-    callers = callers_module.RequestHandler(view, sender, view.source_age_s)
-    view.on_configuration = callers.on_configured
-    kernel.provide("handler", callers)
+    handler = callers_module.RequestHandler(view, sender, view.source_age_s)
+    view.on_configuration = handler.on_configured
+    kernel.provide("handler", handler)
     max_connections = settings.limits.descriptors - RESERVED_DESCRIPTORS
-    caller_server = server.Server(callers.handle, lambda: _limits(view), max(max_connections, 64))
+    caller_server = server.Server(handler.handle, lambda: _limits(view), max(max_connections, 64))
     async with (
         listeners.listen(
             caller_server, settings.entry.callers_address, kernel.find("early listener")
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -181,7 +181,7 @@
         "::test_where_instances_are_many_a_lost_batch_goes_to_the_other_owner",
     ),
     mutant.one(
-        "unknown-replicas-answered",
+        "answer-without-known-replicas",
         "entry/helping.py",
         "    if unknown > MAX_UNKNOWN_SHARE * len(batch.shards):",
         "    if False:",
@@ -318,7 +318,7 @@
         "::test_an_entry_that_was_taken_out_stays_out_when_the_store_has_returned[killed]",
     ),
     mutant.one(
-        "unregistered-for-good",
+        "stop-deregistering-when-draining",
         "entry/daemon.py",
         "    async with tasks.background(unregistered):",
         "    unregistered.close()\n    if True:",
@@ -385,7 +385,7 @@
         "entry/test_recent.py::test_how_many_are_held",
     ),
     mutant.one(
-        "settings-of-the-start",
+        "ignore-reloaded-settings",
         "entry/live_settings.py",
         "        self.policy = attrs.evolve(before, **applied)\n",
         "",
@@ -442,7 +442,7 @@
         "direct/test_pool.py::test_a_pool_of_a_replica_that_is_gone_lends_nothing",
     ),
     mutant.one(
-        "listen-when-loaded",
+        "no-early-listener",
         "entry/early.py",
         "        early.listen(BACKLOG)\n",
         "",
@@ -505,14 +505,14 @@
         "entry/test_directory.py::test_a_draining_instance_omits_itself",
     ),
     mutant.one(
-        "refuse-all-when-leaving",
+        "refuse-all-when-draining",
         "entry/callers.py",
         "now_s >= self._refuse_from_s and call.deadline_s > self._ends_at_s",
         "now_s >= self._refuse_from_s",
         "entry/test_callers.py::test_status",
     ),
     mutant.one(
-        "cut-off-when-leaving",
+        "interrupt-requests-when-draining",
         "entry/callers.py",
         "now_s >= self._refuse_from_s and call.deadline_s > self._ends_at_s",
         "now_s >= self._refuse_from_s + 60.0",
