--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -140,7 +140,7 @@
     mutant.one(
         "run-old-batches",
         "entry/helping.py",
-        "if stalled_s > MOST_STALL_S:",
+        "if stalled_s > MAX_STALL_S:",
         "if stalled_s < 0:",
         "direct/test_handover.py::test_a_batch_that_may_be_old_is_refused",
     ),
@@ -181,9 +181,9 @@
         "direct/test_handover.py::test_with_many_instances_a_lost_batch_goes_to_the_other_owner",
     ),
     mutant.one(
-        "unknown-replicas-answered",
+        "answer-without-known-replicas",
         "entry/helping.py",
-        "    if unknown > MOST_UNKNOWN_SHARE * len(batch.shards):",
+        "    if unknown > MAX_UNKNOWN_SHARE * len(batch.shards):",
         "    if False:",
         "direct/test_handover.py::test_a_peer_that_does_not_know_the_replicas_yet",
     ),
@@ -317,7 +317,7 @@
         "::test_an_entry_that_was_taken_out_stays_out_when_the_store_has_returned[killed]",
     ),
     mutant.one(
-        "unregistered-for-good",
+        "stop-deregistering-when-draining",
         "entry/daemon.py",
         "    async with tasks.background(unregistered):",
         "    unregistered.close()\n    if True:",
@@ -383,18 +383,19 @@
         "entry/test_sliding_maximum.py::test_number_of_values_held",
     ),
     mutant.one(
-        "settings-of-the-start",
+        "ignore-reloaded-settings",
         "entry/live_settings.py",
         "        self.policy = attrs.evolve(before, **applied)\n",
         "",
-        "entry/test_live_settings.py::test_what_is_taken_over",
+        "entry/test_live_settings.py::test_reload_applies_the_reloadable_keys",
     ),
     mutant.one(
-        "storm-let-in",
+        "no-slow-start",
         "entry/callers.py",
-        "        if not self._slow_start.try_acquire(loop.time()) and not await self._turn(call):",
+        "        if not self._slow_start.try_acquire(loop.time())"
+        " and not await self._wait_for_slot(call):",
         "        if False:",
-        "entry/test_callers.py::test_an_instance_that_has_just_started_takes_few_queries",
+        "entry/test_callers.py::test_slow_start_limits_queries_after_a_start",
     ),
     mutant.one(
         "misdirected-retried-like-shed",
@@ -408,7 +409,7 @@
         "entry/callers.py",
         "began_s=min(request.began_s, sent_s - spent_ms / 1000),",
         "began_s=request.began_s,",
-        "entry/test_callers.py::test_goals_count_from_when_callers_began",
+        "entry/test_callers.py::test_goal_counts_from_the_start_of_the_callers_timeout",
     ),
     mutant.one(
         "started-again-is-the-same",
@@ -439,18 +440,18 @@
         "direct/test_pool.py::test_a_closed_pool_provides_no_connections",
     ),
     mutant.one(
-        "listen-when-loaded",
+        "no-early-listener",
         "entry/early.py",
         "        early.listen(BACKLOG)\n",
         "",
-        "entry/test_early.py::test_a_request_sent_before_the_program_is_loaded_is_answered",
+        "entry/test_early.py::test_a_request_sent_while_the_program_loads_is_answered",
     ),
     mutant.one(
-        "refuse-before-the-first-reading",
+        "refuse-before-the-first-snapshot",
         "entry/callers.py",
-        "self.view.configuration or await self._first_configuration()",
+        "self.view.configuration or await self._wait_for_configuration()",
         "self.view.configuration",
-        "entry/test_callers.py::test_the_first_requests_of_an_instance_wait_for_its_first_reading",
+        "entry/test_callers.py::test_first_requests_wait_for_the_first_snapshot",
     ),
     mutant.one(
         "shed-is-forgotten",
@@ -496,21 +497,21 @@
         "policy/test_slow_start.py::test_a_query_that_would_wait_beyond_its_deadline_is_refused",
     ),
     mutant.one(
-        "leaving-instance-tells-itself",
+        "draining-instance-lists-itself",
         "entry/directory.py",
         "if not (self.leaving() and each.name == self.own_name)",
         "if each.name",
-        "entry/test_directory.py::test_an_instance_that_leaves_does_not_send_callers_to_itself",
+        "entry/test_directory.py::test_a_draining_instance_omits_itself",
     ),
     mutant.one(
-        "refuse-all-when-leaving",
+        "refuse-all-when-draining",
         "entry/callers.py",
         "now_s >= self._refuse_from_s and call.deadline_s > self._ends_at_s",
         "now_s >= self._refuse_from_s",
         "entry/test_callers.py::test_status",
     ),
     mutant.one(
-        "cut-off-when-leaving",
+        "interrupt-requests-when-draining",
         "entry/callers.py",
         "now_s >= self._refuse_from_s and call.deadline_s > self._ends_at_s",
         "now_s >= self._refuse_from_s + 60.0",
@@ -616,11 +617,11 @@
         "platform/test_fields.py::test_regions_of_a_route_never_widen",
     ),
     mutant.one(
-        "tell-instances-of-any-region",
+        "list-instances-of-any-region",
         "entry/directory.py",
-        "        anywhere = self._allowed(instances, region, host) or instances",
+        "        anywhere = self._in_allowed_regions(instances, region, host) or instances",
         "        anywhere = instances",
-        "entry/test_directory.py::test_callers_of_bound_routes_are_told_their_own_or_an_allowed"
+        "entry/test_directory.py::test_restricted_hosts_get_instances_of_their_own_or_an_allowed"
         "_region",
     ),
     mutant.one(
