--- a/src/turmericlug/catalog/catalog.py
+++ b/src/turmericlug/catalog/catalog.py
@@ -34,7 +34,7 @@
     name: str
     shards: dict[str, tuple[str, ...]]
 
-    def of(self, service: str) -> tuple[str, ...]:
+    def shards_of(self, service: str) -> tuple[str, ...]:
         """Return the shards of a service; one that is not partitioned has one shard."""
         return self.shards.get(service, (service,))
 
--- a/src/turmericlug/config/ini.py
+++ b/src/turmericlug/config/ini.py
@@ -20,14 +20,14 @@
         self.problems = problems
 
 
-def text(raw: str) -> str:
+def non_empty_text(raw: str) -> str:
     """Parse a text that must not be empty."""
     if not raw:
         raise ValueError("must not be empty")
     return raw
 
 
-def whole(low: int, high: int) -> Parse:
+def integer(low: int, high: int) -> Parse:
     """Return the parser of a whole number within bounds."""
 
     def parse(raw: str) -> int:
@@ -42,7 +42,7 @@
     return parse
 
 
-def ratio(high: float) -> Parse:
+def number_up_to(high: float) -> Parse:
     """Return the parser of a number from 0 to a bound."""
 
     def parse(raw: str) -> float:
@@ -64,7 +64,7 @@
     return raw
 
 
-def url(raw: str) -> str:
+def base_url(raw: str) -> str:
     """Parse a base address."""
     if not raw.startswith(("http://", "https://")):
         raise ValueError(f"{raw!r} is not an http:// or https:// address")
--- a/src/turmericlug/config/version.py
+++ b/src/turmericlug/config/version.py
@@ -9,7 +9,7 @@
 import turmericlug
 
 
-def show(asked: bool) -> None:
+def print_version(asked: bool) -> None:
     """Print the version and end the program, if that was asked for."""
     if asked:
         typer.echo(turmericlug.__version__)
@@ -17,5 +17,6 @@
 
 
 Option = typing.Annotated[
-    bool, typer.Option("--version", callback=show, is_eager=True, help="Print the version.")
+    bool,
+    typer.Option("--version", callback=print_version, is_eager=True, help="Print the version."),
 ]
--- a/src/turmericlug/daemon.py
+++ b/src/turmericlug/daemon.py
@@ -304,7 +304,7 @@
             if name == "store":
                 prefix = settings.platform.store_prefix
                 repository = repository_module.Repository(kernel.find("store"), prefix)
-                repository.held = kernel.find("configuration").texts
+                repository.held = kernel.find("configuration").documents
                 kernel.provide("repository", repository)
         await kernel.find("detector").join(_JOIN_WAIT_S)
         events.emit("instance.started", callers_port=settings.instance.callers_port)
--- a/src/turmericlug/entry/settings.py
+++ b/src/turmericlug/entry/settings.py
@@ -28,9 +28,9 @@
 class Entry:
     """Section ``[entry]``: who this instance is and where it listens."""
 
-    name: str = ini.key(ini.text, None, "unique name of this instance")
-    data_centre: str = ini.key(ini.text, None, "data centre of this instance")
-    region: str = ini.key(ini.text, None, "region of the data centre")
+    name: str = ini.key(ini.non_empty_text, None, "unique name of this instance")
+    data_centre: str = ini.key(ini.non_empty_text, None, "data centre of this instance")
+    region: str = ini.key(ini.non_empty_text, None, "region of the data centre")
     data_centres: dict[str, str] = ini.key(_regions, None, "region of each data centre")
     callers_address: tuple[str, int] = ini.key(_address, None, "where callers connect")
     ready_address: tuple[str, int] = ini.key(_address, None, "where readiness is asked")
@@ -50,19 +50,19 @@
 class Limits:
     """Section ``[limits]``: what the process may use."""
 
-    descriptors: int = ini.key(ini.whole(256, 1 << 20), 4096, "file descriptors")
+    descriptors: int = ini.key(ini.integer(256, 1 << 20), 4096, "file descriptors")
 
 
 @attrs.frozen
 class Policy:
     """Section ``[policy]``: bounds that all instances share."""
 
-    extra_ratio: float = ini.key(ini.ratio(10.0), 0.2, "extra sends for each request")
-    extra_slack: float = ini.key(ini.ratio(1e6), 50.0, "extra sends in a window besides")
-    extra_window_s: float = ini.key(ini.ratio(3600.0), 10.0, "length of the window")
-    grace_s: float = ini.key(ini.ratio(3600.0), 6.0, "time from SIGTERM to the forced end")
+    extra_ratio: float = ini.key(ini.number_up_to(10.0), 0.2, "extra sends for each request")
+    extra_slack: float = ini.key(ini.number_up_to(1e6), 50.0, "extra sends in a window besides")
+    extra_window_s: float = ini.key(ini.number_up_to(3600.0), 10.0, "length of the window")
+    grace_s: float = ini.key(ini.number_up_to(3600.0), 6.0, "time from SIGTERM to the forced end")
     quarantine: int = ini.key(
-        ini.whole(0, 1), 1, "1: requests under which replicas ended are held back"
+        ini.integer(0, 1), 1, "1: requests under which replicas ended are held back"
     )
 
 
--- a/src/turmericlug/operators/http.py
+++ b/src/turmericlug/operators/http.py
@@ -20,8 +20,8 @@
 from turmericlug.rules import distribution as distribution_module
 from turmericlug.rules import edits
 from turmericlug.rules import model
+from turmericlug.rules import parser as parser_module
 from turmericlug.rules import repository as repository_module
-from turmericlug.rules import text as text_module
 from turmericlug.telemetry import counters as counters_module
 from turmericlug.telemetry import events
 from turmericlug.wire import link as link_module
@@ -92,7 +92,7 @@
 
     async def _list(self, request: web.Request) -> web.Response:
         document = self._config.rules
-        rules = [model.rule_to_plain(rule) for rule in document.rules]
+        rules = [model.rule_to_dict(rule) for rule in document.rules]
         return web.json_response({"revision": document.revision, "rules": rules})
 
     async def _check(self, request: web.Request) -> web.Response:
@@ -104,8 +104,10 @@
 
     def _check_order(self, rules: list[model.Rule], text: str) -> None:
         try:
-            text_module.check_order(rules, self._config.catalog, text_module.line_numbers(text))
-        except text_module.RulesError as error:
+            parser_module.check_reachability(
+                rules, self._config.catalog, parser_module.line_numbers(text)
+            )
+        except parser_module.RulesError as error:
             raise _BadCallError(str(error).splitlines()) from error
 
     async def _edit(self, request: web.Request) -> web.Response:
@@ -129,7 +131,7 @@
                     status=409,
                 )
             case repository_module.Rejected(problems=problems):
-                lines = text_module.line_numbers(str(plain.get("text", "")))
+                lines = parser_module.line_numbers(str(plain.get("text", "")))
                 problems = [_with_line(problem, lines) for problem in problems]
                 return web.json_response(
                     {"outcome": "rejected", "edit": change.edit, "problems": problems}, status=422
@@ -155,7 +157,7 @@
         :param fields: what the answer says besides
         """
         await self._distribution.refresh()
-        waiting = await self._distribution.confirm({document})
+        waiting = await self._distribution.distribute({document})
         held = self._config.freshness.held
         if (held.rules if document == configuration.RULES else held.catalog) < revision:
             waiting = [*waiting, self._settings.instance.name]
@@ -199,7 +201,7 @@
         return web.json_response({"edits": await self._repository.history(limit)})
 
     async def _get_catalog(self, request: web.Request) -> web.Response:
-        texts = {text.name: text for text in self._config.texts()}
+        texts = {text.name: text for text in self._config.documents()}
         text = texts.get(configuration.CATALOG)
         revision = text.revision if text else 0
         catalog = json.loads(text.text) if text else {}
@@ -339,8 +341,8 @@
 
 def _rules_of(text: str) -> list[model.Rule]:
     try:
-        return text_module.parse(text)
-    except text_module.RulesError as error:
+        return parser_module.parse(text)
+    except parser_module.RulesError as error:
         raise _BadCallError(str(error).splitlines()) from error
 
 
--- a/src/turmericlug/query/callers_http.py
+++ b/src/turmericlug/query/callers_http.py
@@ -191,7 +191,9 @@
         members = catalog.members_of(name)
         if not members and self._config.freshness.is_current():
             raise BadRequestError("unknown_service", f"no service or group {name!r}", 404)
-        shards = sum(len(catalog.snapshots[-1].of(each)) for each in members if catalog.snapshots)
+        shards = sum(
+            len(catalog.snapshots[-1].shards_of(each)) for each in members if catalog.snapshots
+        )
         if once and shards > 1:
             detail = f"{name} has {shards} shards; a request that runs once goes to one"
             raise BadRequestError("several_shards", detail)
--- a/src/turmericlug/query/coordinator.py
+++ b/src/turmericlug/query/coordinator.py
@@ -218,7 +218,7 @@
         parts = tuple(
             (service, shard)
             for service in catalog.members_of(query.service)
-            for shard in snapshot.of(service)
+            for shard in snapshot.shards_of(service)
         )
         terms = submission.Terms(
             query_id=query_id,
--- a/src/turmericlug/rules/configuration.py
+++ b/src/turmericlug/rules/configuration.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class Text:
+class DocumentText:
     """A configuration document as it travels."""
 
     name: str
@@ -38,18 +38,18 @@
         self.freshness = freshness
         self.on_change: list[abc.Callable[[], None]] = []
         self._counters = counters
-        self._texts: dict[str, Text] = {}
+        self._texts: dict[str, DocumentText] = {}
 
     @property
     def catalog_revision(self) -> int:
         """The revision of the catalogue in force."""
         return self.freshness.held.catalog
 
-    def texts(self) -> list[Text]:
+    def documents(self) -> list[DocumentText]:
         """Return the documents to hand to a peer."""
         return list(self._texts.values())
 
-    def apply(self, document: Text) -> bool:
+    def apply(self, document: DocumentText) -> bool:
         """
         Put a document in force if it is newer than what is.
 
--- a/src/turmericlug/rules/distribution.py
+++ b/src/turmericlug/rules/distribution.py
@@ -124,7 +124,7 @@
             if not head.rules or head.revisions != self._config.freshness.held:
                 contents = await self._repository.read()
                 head = contents.head
-                for text in contents.texts:
+                for text in contents.documents:
                     self._config.apply(text)
         except repository_module.RepositoryError:
             self.store_reachable = False
@@ -159,14 +159,16 @@
 
     def _apply_all(self, documents: typing.Any) -> None:
         for document in documents:
-            self._config.apply(configuration.Text(document.name, document.revision, document.text))
+            self._config.apply(
+                configuration.DocumentText(document.name, document.revision, document.text)
+            )
 
     def on_documents(self, request: server_module.Request) -> None:
         """Hand our documents to a peer that is behind."""
         held = dict(entry.split(">") for entry in request.message.documents)
         newer = [
             {"name": text.name, "revision": text.revision, "text": text.text}
-            for text in self._config.texts()
+            for text in self._config.documents()
             if text.revision > int(held.get(text.name, 0))
         ]
         request.reply(lambda envelope: setattr(envelope, "documentsReply", newer))
@@ -216,7 +218,7 @@
             message.stamp = self._detector.stamp()
             message.documents = [
                 {"name": text.name, "revision": text.revision, "text": text.text}
-                for text in self._config.texts()
+                for text in self._config.documents()
                 if text.name in only
             ]
             message.members = members
@@ -253,7 +255,7 @@
         known = {member.instance for member in members.peers()}
         return (known | set(self._detector.listed)) - {members.own.instance}
 
-    async def confirm(self, only: set[str], wait_s: float = ACCEPT_WAIT_S) -> list[str]:
+    async def distribute(self, only: set[str], wait_s: float = ACCEPT_WAIT_S) -> list[str]:
         """
         Bring the configuration in force everywhere.
 
--- a/src/turmericlug/rules/model.py
+++ b/src/turmericlug/rules/model.py
@@ -135,13 +135,13 @@
     return json.dumps(
         {
             "revision": document.revision,
-            "rules": [rule_to_plain(rule) for rule in document.rules],
+            "rules": [rule_to_dict(rule) for rule in document.rules],
             "edits": [attrs.asdict(edit) for edit in document.edits],
         }
     )
 
 
-def rule_to_plain(rule: Rule) -> dict[str, typing.Any]:
+def rule_to_dict(rule: Rule) -> dict[str, typing.Any]:
     """Turn a rule into plain values, leaving out what is as by default."""
     default = Treatment()
     then = {
@@ -156,11 +156,11 @@
 def from_json(text: str) -> Document:
     """Read a document as the store holds it."""
     plain = json.loads(text)
-    rules = tuple(rule_from_plain(item) for item in plain["rules"])
+    rules = tuple(rule_from_dict(item) for item in plain["rules"])
     return Document(plain["revision"], rules, tuple(Edit(**item) for item in plain["edits"]))
 
 
-def rule_from_plain(item: abc.Mapping[str, typing.Any]) -> Rule:
+def rule_from_dict(item: abc.Mapping[str, typing.Any]) -> Rule:
     """Read a rule from plain values that were checked before."""
     when = {key: tuple(patterns) for key, patterns in item["when"].items()}
     return Rule(item["name"], when, Treatment(rule=item["name"], **item["then"]))
--- a/src/turmericlug/rules/text.py
+++ b/src/turmericlug/rules/parser.py
@@ -191,7 +191,7 @@
         problems.append(Problem(line, reason))
 
 
-def check_order(
+def check_reachability(
     rules: abc.Sequence[model.Rule],
     catalog: catalog_module.Catalog,
     line_of: abc.Mapping[str, int] | None = None,
--- a/src/turmericlug/rules/repository.py
+++ b/src/turmericlug/rules/repository.py
@@ -14,7 +14,7 @@
 from turmericlug.rules import configuration
 from turmericlug.rules import edits
 from turmericlug.rules import model
-from turmericlug.rules import text as text_module
+from turmericlug.rules import parser as parser_module
 from turmericlug.storage import store as store_module
 from turmericlug.telemetry import events
 
@@ -32,7 +32,7 @@
 
     head: configuration.Head
     rules: model.Document
-    texts: list[configuration.Text]
+    documents: list[configuration.DocumentText]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
         self.head_key = f"{prefix}config/head"
         self._prefix = f"{prefix}config/"
         self._history = f"{prefix}history/"
-        self.held: abc.Callable[[], list[configuration.Text]] = list
+        self.held: abc.Callable[[], list[configuration.DocumentText]] = list
         """Returns the documents in force here, which the store accepted once."""
 
     async def read_head(self) -> configuration.Head:
@@ -110,14 +110,14 @@
         rules_text = by_key[f"{self._prefix}rules"].text
         catalog_text = by_key[f"{self._prefix}catalog"].text
         texts = [
-            configuration.Text(configuration.RULES, head.rules, rules_text),
-            configuration.Text(configuration.CATALOG, head.catalog, catalog_text),
+            configuration.DocumentText(configuration.RULES, head.rules, rules_text),
+            configuration.DocumentText(configuration.CATALOG, head.catalog, catalog_text),
         ]
         return Contents(head, model.from_json(rules_text), texts)
 
     async def _put_back(self, contents: Contents) -> bool:
         """Write the documents that were lost; tells whether there were any."""
-        stored = {text.name: text.revision for text in contents.texts}
+        stored = {text.name: text.revision for text in contents.documents}
         lost = [text for text in self.held() if text.revision > stored[text.name]]
         if not lost:
             return False
@@ -174,9 +174,9 @@
             if isinstance(outcome, edits.Impossible):
                 return Rejected([outcome.reason])
             try:
-                catalog = catalog_module.parse(contents.texts[1].text)
-                text_module.check_order(outcome.document.rules, catalog)
-            except text_module.RulesError as error:
+                catalog = catalog_module.parse(contents.documents[1].text)
+                parser_module.check_reachability(outcome.document.rules, catalog)
+            except parser_module.RulesError as error:
                 return Rejected([problem.reason for problem in error.problems])
             written = await self._write_rules(contents.head, outcome.document)
             if isinstance(written, str):
@@ -209,7 +209,7 @@
         for _ in range(_TRIES):
             try:
                 contents = await self.read()
-                if contents.texts[1].text == text:
+                if contents.documents[1].text == text:
                     return Stored(contents.head.catalog)
                 revision = contents.head.catalog + 1
                 head_text = configuration.head_to_json(contents.head.rules, revision)
--- a/tests/catalog/test_catalog.py
+++ b/tests/catalog/test_catalog.py
@@ -18,8 +18,8 @@
     assert found.members_of("both") == ("a", "b")
     assert found.members_of("a") == ("a",)
     assert found.members_of("c") == ()
-    assert found.snapshots[-1].of("a") == ("a.0", "a.1")
-    assert found.snapshots[-1].of("b") == ("b",)
+    assert found.snapshots[-1].shards_of("a") == ("a.0", "a.1")
+    assert found.snapshots[-1].shards_of("b") == ("b",)
 
 
 @pytest.mark.parametrize(
--- a/tests/operators/test_http.py
+++ b/tests/operators/test_http.py
@@ -20,7 +20,7 @@
     async def refresh(self):
         return False
 
-    async def confirm(self, documents):
+    async def distribute(self, documents):
         return []
 
 
--- a/tests/rules/test_configuration.py
+++ b/tests/rules/test_configuration.py
@@ -9,7 +9,9 @@
 
 
 def rules(revision):
-    return configuration.Text("rules", revision, model.to_json(model.Document(revision, (), ())))
+    return configuration.DocumentText(
+        "rules", revision, model.to_json(model.Document(revision, (), ()))
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/rules/test_model.py
+++ b/tests/rules/test_model.py
@@ -3,7 +3,7 @@
 import pytest
 
 from turmericlug.rules import model
-from turmericlug.rules import text
+from turmericlug.rules import parser
 
 RULES = """
 [rule nurses]
@@ -46,7 +46,7 @@
     ],
 )
 def test_first_match_decides(changes, rule):
-    document = model.Document(1, tuple(text.parse(RULES)), ())
+    document = model.Document(1, tuple(parser.parse(RULES)), ())
     assert document.match(request(**changes)).rule == rule
     steps = document.explain(request(**changes))
     assert steps[-1] == (rule, "")
--- a/tests/rules/test_text.py
+++ b/tests/rules/test_parser.py
@@ -4,7 +4,7 @@
 
 from turmericlug.catalog import catalog
 from turmericlug.rules import model
-from turmericlug.rules import text
+from turmericlug.rules import parser
 
 CATALOG = catalog.Catalog({"permis": catalog.Service("permis", 1, 2)}, {}, ())
 
@@ -33,14 +33,14 @@
     ],
 )
 def test_problems_name_line_and_reason(given, problem):
-    with pytest.raises(text.RulesError) as caught:
-        text.parse(given)
+    with pytest.raises(parser.RulesError) as caught:
+        parser.parse(given)
     assert str(caught.value).startswith(problem)
 
 
 def test_every_problem_is_told():
-    with pytest.raises(text.RulesError) as caught:
-        text.parse("[rule a]\nthen_x = 1\nwhen_y = 2\n[rule b]\nthen_retries = 9\n")
+    with pytest.raises(parser.RulesError) as caught:
+        parser.parse("[rule a]\nthen_x = 1\nwhen_y = 2\n[rule b]\nthen_retries = 9\n")
     assert [problem.line for problem in caught.value.problems[:2]] == [2, 3]
     assert any(problem.line == 5 for problem in caught.value.problems)
 
@@ -60,24 +60,24 @@
     ],
 )
 def test_rules_that_can_never_match(earlier, later, hidden):
-    rules = text.parse(
+    rules = parser.parse(
         f"[rule first]\n{earlier}\nthen_hedge = no\n[rule second]\n{later}\nthen_hedge = no\n"
     )
     if hidden:
-        with pytest.raises(text.RulesError, match="second: can never match, first before"):
-            text.check_order(rules, CATALOG)
+        with pytest.raises(parser.RulesError, match="second: can never match, first before"):
+            parser.check_reachability(rules, CATALOG)
     else:
-        text.check_order(rules, CATALOG)
+        parser.check_reachability(rules, CATALOG)
 
 
 @pytest.mark.parametrize(("name", "known"), [("permis", True), ("per*", True), ("devis", False)])
 def test_unknown_service_never_matches(name, known):
-    rules = text.parse(f"[rule a]\nwhen_service = {name}\nthen_hedge = no\n")
+    rules = parser.parse(f"[rule a]\nwhen_service = {name}\nthen_hedge = no\n")
     if known:
-        text.check_order(rules, CATALOG)
+        parser.check_reachability(rules, CATALOG)
     else:
-        with pytest.raises(text.RulesError, match="no service or group"):
-            text.check_order(rules, CATALOG)
+        with pytest.raises(parser.RulesError, match="no service or group"):
+            parser.check_reachability(rules, CATALOG)
 
 
 def test_a_rule_survives_the_store():
@@ -87,6 +87,6 @@
         "then_rate_per_s = 2.5\nthen_retries = 0\nthen_hedge = no\nthen_priority = 9\n"
     )
     document = model.Document(
-        3, tuple(text.parse(given)), (model.Edit("e", 3, "o", "add", "a", 1),)
+        3, tuple(parser.parse(given)), (model.Edit("e", 3, "o", "add", "a", 1),)
     )
     assert model.from_json(model.to_json(document)) == document
--- a/tests/rules/test_repository.py
+++ b/tests/rules/test_repository.py
@@ -78,7 +78,7 @@
         await first.read()
         for number, name in enumerate("ab"):
             await first.edit(change(f"e{number}", "add", name))
-        held = (await first.read()).texts
+        held = (await first.read()).documents
         first.held = lambda: held
         store.return_from_copy(lost)
         assert await first.edit(change("e2", "add", "c")) == repository.Stored(4)
