--- a/src/turmericlug/daemon.py
+++ b/src/turmericlug/daemon.py
@@ -130,7 +130,7 @@
     )
     detector.on_newer = distribution.pull_from
     detector.reads_often = distribution.is_reader
-    distribution.read_list = _list_reader(kernel, detector)
+    distribution.refresh_instance_list = _list_reader(kernel, detector)
     async with tasks.background(distribution.run(), distribution.run_watch()):
         try:
             yield distribution
@@ -207,7 +207,7 @@
         kernel.find("records"),
         kernel.find("counters"),
     )
-    kernel.find("distribution").older_ended = coordinator.older_ended
+    kernel.find("distribution").wait_for_older_queries = coordinator.older_ended
     yield coordinator
 
 
@@ -304,7 +304,7 @@
             if name == "store":
                 prefix = settings.platform.store_prefix
                 repository = repository_module.Repository(kernel.find("store"), prefix)
-                repository.held = kernel.find("configuration").documents
+                repository.documents_in_force = kernel.find("configuration").documents
                 kernel.provide("repository", repository)
         await kernel.find("detector").join(_JOIN_WAIT_S)
         events.emit("instance.started", callers_port=settings.instance.callers_port)
--- a/src/turmericlug/rules/__init__.py
+++ b/src/turmericlug/rules/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' ordered rules: model, checks, matching, editing and distribution."""
+"""Ordered rules set by operators: model, validation, matching, edits and distribution."""
--- a/src/turmericlug/rules/configuration.py
+++ b/src/turmericlug/rules/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force here: rules and catalogue, each moving only to higher revisions."""
+"""The configuration in force on this instance: rules and catalogue, by rising revision only."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class DocumentText:
-    """A configuration document as it travels."""
+    """A configuration document as serialized for the store and for peers."""
 
     name: str
     revision: int
@@ -28,7 +28,7 @@
 
 
 class Configuration:
-    """What this instance has in force, in parsed form and as text for peers."""
+    """The rules and catalogue in force on this instance, parsed and as text for peers."""
 
     def __init__(
         self, freshness: freshness_module.Freshness, counters: counters_module.Counters
@@ -46,28 +46,28 @@
         return self.freshness.held.catalog
 
     def documents(self) -> list[DocumentText]:
-        """Return the documents to hand to a peer."""
+        """Return the documents in force, as sent to peers."""
         return list(self._texts.values())
 
     def apply(self, document: DocumentText) -> bool:
         """
-        Put a document in force if it is newer than what is.
+        Put a document in force if its revision is higher than the current one.
 
-        Only a higher revision is taken, whoever brings it: a store restored from a backup, or a
-        peer that was cut off, must not bring back rules that the operators have replaced.
+        Lower revisions are ignored whatever their source: a store restored from a backup, or a
+        peer that was partitioned, must not bring back rules that operators have replaced.
 
-        :returns: whether it was taken
+        :returns: whether the document was put in force
         """
-        held = self.freshness.held
-        current = held.rules if document.name == RULES else held.catalog
+        in_force = self.freshness.held
+        current = in_force.rules if document.name == RULES else in_force.catalog
         if document.revision <= current:
             return False
         if document.name == RULES:
             self.rules = model.from_json(document.text)
-            self.freshness.held = attrs.evolve(held, rules=document.revision)
+            self.freshness.held = attrs.evolve(in_force, rules=document.revision)
         else:
             self.catalog = catalog_module.parse(document.text)
-            self.freshness.held = attrs.evolve(held, catalog=document.revision)
+            self.freshness.held = attrs.evolve(in_force, catalog=document.revision)
         self._texts[document.name] = document
         self._counters.add("rules.applied")
         events.emit("rules.applied", document=document.name, revision=document.revision)
@@ -78,26 +78,26 @@
 
 @attrs.frozen
 class Head:
-    """The small key that names the newest revisions; every change swaps it."""
+    """The head key: the newest revisions; every change compares and swaps it."""
 
     rules: int
     catalog: int
     stored: store_module.Value
-    """The key as it was read, for swapping it."""
+    """The value that was read, expected by the next compare-and-swap."""
 
     @property
     def revisions(self) -> freshness_module.Revisions:
-        """The revisions that it names."""
+        """The revisions of both documents."""
         return freshness_module.Revisions(self.rules, self.catalog)
 
 
 def head_to_json(rules: int, catalog: int) -> str:
-    """Turn a head into the text kept in the store, another one with each write."""
+    """Serialize a head; a random identifier makes the text of each write unique."""
     return json.dumps({RULES: rules, CATALOG: catalog, "write": uuid.uuid4().hex})
 
 
 def head_from(stored: store_module.Value) -> Head:
-    """Read a head as the store holds it; an empty text is a store never written."""
+    """Parse a head; an empty text means that the store has never been written."""
     if not stored.text:
         return Head(0, 0, stored)
     plain = json.loads(stored.text)
--- a/src/turmericlug/rules/distribution.py
+++ b/src/turmericlug/rules/distribution.py
@@ -1,4 +1,4 @@
-"""How a change reaches every instance: a tree of confirmations, with gossip to repair it."""
+"""Distributes changes to every instance: a broadcast tree with confirmations, gossip as repair."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 from turmericlug.wire import server as server_module
 
 TREE_WIDTH = 8
-"""Children per node: 4,700 instances are four levels deep."""
-SPREAD_WAIT_S = 1.5
+"""Children per node; 4,700 instances make four levels."""
+BROADCAST_TIMEOUT_S = 1.5
 PULL_TIMEOUT_S = 1.0
 READERS_PER_DATA_CENTRE = 2
-"""Instances of a data centre that read the store's head; the others hear from peers."""
-STAND_INS = 2
-"""Further ones that read, of a whole data centre, when evidence has grown old."""
-ACCEPT_WAIT_S = 3.0
-_DEEPER_SHARE = 0.6
-"""What a branch of the tree leaves its own branches of the time it was given."""
+"""Instances per data centre that read the store's head; the others learn from peers."""
+FALLBACK_READERS = 2
+"""Expected number of other instances of a data centre that read when their evidence is stale."""
+CONFIRM_TIMEOUT_S = 3.0
+_CHILD_TIMEOUT_SHARE = 0.6
+"""Share of its own timeout that a node of the tree gives its children."""
 
 
-async def _no_list() -> None:
+async def _skip_list_read() -> None:
     return None
 
 
-async def _none_running(revision: int, timeout_s: float) -> bool:
+async def _assume_none_running(revision: int, timeout_s: float) -> bool:
     return True
 
 
 class Distribution:
-    """Keeps this instance's configuration the newest, and hands changes on."""
+    """Keeps the configuration of this instance current and distributes changes."""
 
     def __init__(
         self,
@@ -57,67 +57,69 @@
         self._repository = repository
         self._store = store
         self._detector = detector
-        self._poll_s = freshness_ms / 3000
-        self._limit_ms = freshness_ms
+        self._poll_interval_s = freshness_ms / 3000
+        self._freshness_ms = freshness_ms
         self._pulling: set[str] = set()
         self._tasks = tasks.Tasks()
         self.store_reachable = False
-        self.older_ended: abc.Callable[[int, float], abc.Awaitable[bool]] = _none_running
-        self.read_list: abc.Callable[[], abc.Awaitable[None]] = _no_list
-        self._wake = asyncio.Event()
+        self.wait_for_older_queries: abc.Callable[[int, float], abc.Awaitable[bool]] = (
+            _assume_none_running
+        )
+        self.refresh_instance_list: abc.Callable[[], abc.Awaitable[None]] = _skip_list_read
+        self._head_changed = asyncio.Event()
 
     async def run(self) -> None:
-        """Follow the store until cancelled, when it is this instance's turn to read it."""
+        """Poll the store until cancelled, while this instance is one that reads it."""
         while True:
-            if self._reads_the_store():
+            if self._should_read_store():
                 await self.refresh()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(self._poll_s):
-                    await self._wake.wait()
-            self._wake.clear()
+                async with asyncio.timeout(self._poll_interval_s):
+                    await self._head_changed.wait()
+            self._head_changed.clear()
 
     async def run_watch(self) -> None:
-        """Wake the reader at every change of the head, while we are one, until cancelled."""
+        """Watch the head key while this instance is a reader, until cancelled."""
         while True:
             if self.is_reader():
                 watch = self._tasks.start(self._watch())
                 while self.is_reader() and not watch.done():
-                    await asyncio.sleep(self._poll_s)
+                    await asyncio.sleep(self._poll_interval_s)
                 watch.cancel()
-            await asyncio.sleep(self._poll_s)
+            await asyncio.sleep(self._poll_interval_s)
 
     async def _watch(self) -> None:
         with contextlib.suppress(store_module.StoreError):
             async for _ in self._store.watch(self._repository.head_key):
-                self._wake.set()
+                self._head_changed.set()
 
     def is_reader(self) -> bool:
-        """Whether we are among the first of our data centre."""
-        return self._rank_among(self._local())
+        """Whether this instance is a regular reader of its data centre."""
+        return self._is_reader_among(self._serving_in_own_data_centre())
 
-    def _local(self) -> list[members_module.Member]:
+    def _serving_in_own_data_centre(self) -> list[members_module.Member]:
         members = self._detector.members
         centre = members.own.data_centre
         return [each for each in members.serving() if each.data_centre == centre]
 
-    def _rank_among(self, local: list[members_module.Member]) -> bool:
+    def _is_reader_among(self, local: list[members_module.Member]) -> bool:
         own = self._detector.members.own
         ranked = members_module.owners("store-reader", own.data_centre, local)
         return own.instance in [each.instance for each in ranked[:READERS_PER_DATA_CENTRE]]
 
-    def _reads_the_store(self) -> bool:
-        """Whether we are among the first of our data centre, or have no news from them."""
-        local = self._local()
-        if self._rank_among(local):
+    def _should_read_store(self) -> bool:
+        """Whether this instance is a reader, or a fallback one because its evidence is stale."""
+        local = self._serving_in_own_data_centre()
+        if self._is_reader_among(local):
             return True
-        # Readers that are cut off from the store, or gone, must not leave us uninformed; in an
-        # outage of the store the draw keeps all the others from calling it at once.
-        if self._config.freshness.age_ms() <= self._limit_ms:
+        # Other instances read if the regular readers have failed or cannot reach the store. The
+        # random draw prevents all of them from calling the store at once during its outage.
+        if self._config.freshness.age_ms() <= self._freshness_ms:
             return False
-        return random.random() < STAND_INS / max(len(local), 1)
+        return random.random() < FALLBACK_READERS / max(len(local), 1)
 
     async def refresh(self) -> bool:
-        """Read the store once, and what is newer there; tells whether the store answered."""
+        """Read the head, and the documents if they differ; return whether the store answered."""
         began_at_s = time.monotonic()
         try:
             head = await self._repository.read_head()
@@ -134,7 +136,7 @@
         return True
 
     def pull_from(self, peer: str) -> None:
-        """Fetch documents from a peer that has newer ones, unless that is under way."""
+        """Fetch documents from a peer that has newer ones, unless a fetch is in flight."""
         if peer not in self._pulling:
             self._pulling.add(peer)
             self._tasks.start(self._pull(peer))
@@ -144,10 +146,10 @@
             link = self._detector.mesh.link(peer)
             if link is None:
                 return
-            held = self._config.freshness.held
+            in_force = self._config.freshness.held
 
             def fill(envelope: typing.Any) -> None:
-                envelope.documents = [f"rules>{held.rules}", f"catalog>{held.catalog}"]
+                envelope.documents = [f"rules>{in_force.rules}", f"catalog>{in_force.catalog}"]
 
             reply = await link.ask(fill, PULL_TIMEOUT_S)
             if reply.which() == "documentsReply":
@@ -164,54 +166,58 @@
             )
 
     def on_documents(self, request: server_module.Request) -> None:
-        """Hand our documents to a peer that is behind."""
-        held = dict(entry.split(">") for entry in request.message.documents)
+        """Reply with the documents that are newer than those of the requesting peer."""
+        known = dict(entry.split(">") for entry in request.message.documents)
         newer = [
             {"name": text.name, "revision": text.revision, "text": text.text}
             for text in self._config.documents()
-            if text.revision > int(held.get(text.name, 0))
+            if text.revision > int(known.get(text.name, 0))
         ]
         request.reply(lambda envelope: setattr(envelope, "documentsReply", newer))
 
-    async def spread(self, instances: list[str], only: set[str], wait_s: float) -> list[str]:
+    async def broadcast(self, instances: list[str], only: set[str], timeout_s: float) -> list[str]:
         """
-        Bring what we have in force to a set of instances, as a tree.
+        Broadcast the documents in force to a set of instances along a tree.
 
-        :param instances: names, without ours
-        :param only: names of the documents to send; who lacks another one fetches it
-        :param wait_s: how long each branch may take; deeper ones get less, so that a parent still
-            hears of its children when one of theirs is dead
-        :returns: those that did not confirm
+        :param instances: names, without this instance
+        :param only: names of the documents to send; an instance that lacks another one fetches it
+        :param timeout_s: limit of each branch; deeper levels get less, so that a node still
+            replies to its parent in time when one of its own children is dead
+        :returns: the instances that did not confirm
         """
         groups = [instances[start::TREE_WIDTH] for start in range(min(TREE_WIDTH, len(instances)))]
-        found = await asyncio.gather(*(self._spread_group(group, only, wait_s) for group in groups))
-        return [instance for group in found for instance in group]
+        results = await asyncio.gather(
+            *(self._broadcast_to_group(group, only, timeout_s) for group in groups)
+        )
+        return [instance for unconfirmed in results for instance in unconfirmed]
 
-    async def _spread_group(self, group: list[str], only: set[str], wait_s: float) -> list[str]:
-        """Hand a group to its first member that answers; the dead ones stay unconfirmed."""
+    async def _broadcast_to_group(
+        self, group: list[str], only: set[str], timeout_s: float
+    ) -> list[str]:
+        """Send to a group via its first member that answers; others tried stay unconfirmed."""
         unconfirmed = []
         while group:
             head, group = group[0], group[1:]
-            reply = await self._spread_one(head, group, only, wait_s)
+            reply = await self._broadcast_to_node(head, group, only, timeout_s)
             if reply is not None:
                 return unconfirmed + list(reply.unconfirmed)
             unconfirmed.append(head)
         return unconfirmed
 
-    async def _spread_one(
-        self, head: str, group: list[str], only: set[str], wait_s: float
+    async def _broadcast_to_node(
+        self, head: str, group: list[str], only: set[str], timeout_s: float
     ) -> typing.Any | None:
         link = self._detector.mesh.link(head)
         if link is None:
             return None
         try:
-            reply = await link.ask(self._spread_filler(group, only, wait_s), wait_s)
+            reply = await link.ask(self._broadcast_filler(group, only, timeout_s), timeout_s)
         except link_module.LinkError:
             return None
         return reply.spreadReply if reply.which() == "spreadReply" else None
 
-    def _spread_filler(
-        self, members: list[str], only: set[str], wait_s: float
+    def _broadcast_filler(
+        self, members: list[str], only: set[str], timeout_s: float
     ) -> abc.Callable[[typing.Any], None]:
         def fill(envelope: typing.Any) -> None:
             message = envelope.init("spread")
@@ -222,16 +228,16 @@
                 if text.name in only
             ]
             message.members = members
-            message.remainingMs = int(wait_s * 1000)
+            message.remainingMs = int(timeout_s * 1000)
 
         return fill
 
     async def on_spread(self, request: server_module.Request) -> None:
         """
-        Put what the parent sent in force, hand it on, report who did not confirm.
+        Apply the parent's documents, forward them and reply who did not confirm.
 
-        Queries that began under older rules would still be answered by them; so we confirm only
-        when they have ended, and stay unconfirmed if that takes too long.
+        Queries that began under older rules are still answered by those. This instance therefore
+        confirms only once they have ended, and stays unconfirmed if that takes too long.
         """
         message = request.message.spread
         self._apply_all(message.documents)
@@ -240,46 +246,49 @@
         )
         if not self._config.freshness.held.covers(wanted):
             await self._pull(request.peer)
-        wait_s = message.remainingMs / 1000 * _DEEPER_SHARE
+        timeout_s = message.remainingMs / 1000 * _CHILD_TIMEOUT_SHARE
         unconfirmed, ended = await asyncio.gather(
-            self.spread(list(message.members), {each.name for each in message.documents}, wait_s),
-            self.older_ended(self._config.rules.revision, wait_s),
+            self.broadcast(
+                list(message.members), {each.name for each in message.documents}, timeout_s
+            ),
+            self.wait_for_older_queries(self._config.rules.revision, timeout_s),
         )
         if not ended or not self._config.freshness.held.covers(wanted):
             unconfirmed = [*unconfirmed, self._detector.members.own.instance]
         request.reply(lambda envelope: codec.fill(envelope, "spreadReply", unconfirmed=unconfirmed))
 
-    def everyone(self) -> set[str]:
-        """Return all others that may be answering callers: alive for us, or listed as live."""
+    def other_instances(self) -> set[str]:
+        """Return all other instances that may serve callers: known as alive, or listed as live."""
         members = self._detector.members
         known = {member.instance for member in members.peers()}
         return (known | set(self._detector.listed)) - {members.own.instance}
 
-    async def distribute(self, only: set[str], wait_s: float = ACCEPT_WAIT_S) -> list[str]:
+    async def distribute(self, only: set[str], timeout_s: float = CONFIRM_TIMEOUT_S) -> list[str]:
         """
-        Bring the configuration in force everywhere.
+        Bring the configuration into force on every instance.
 
-        An instance that is frozen or cut off does not confirm, and may answer callers by the older
-        revision until it notices; so it is named, and nothing is called accepted meanwhile. One
-        that the platform no longer lists and peers hold for dead is gone.
+        An instance that is frozen or partitioned does not confirm, and may serve callers by the
+        older revision until it detects this. It is therefore returned, and the change is not
+        reported as accepted. An instance that the platform no longer lists and peers consider dead
+        does not count.
 
         :param only: names of the documents that changed
-        :returns: who had not confirmed when the time was up
+        :returns: the instances that had not confirmed at the timeout
         """
-        end_s = time.monotonic() + wait_s
-        await self.read_list()
-        waiting = self.everyone()
+        end_s = time.monotonic() + timeout_s
+        await self.refresh_instance_list()
+        waiting = self.other_instances()
         own = self._detector.members.own.instance
         while True:
             unconfirmed, ended = await asyncio.gather(
-                self.spread(sorted(waiting), only, SPREAD_WAIT_S),
-                self.older_ended(self._config.rules.revision, SPREAD_WAIT_S),
+                self.broadcast(sorted(waiting), only, BROADCAST_TIMEOUT_S),
+                self.wait_for_older_queries(self._config.rules.revision, BROADCAST_TIMEOUT_S),
             )
-            waiting = set(unconfirmed) & self.everyone()
+            waiting = set(unconfirmed) & self.other_instances()
             if (ended and not waiting) or time.monotonic() > end_s:
                 return sorted(waiting | (set() if ended else {own}))
             await asyncio.sleep(0.2)
 
     async def close(self) -> None:
-        """End what is under way."""
+        """Cancel the fetches and the watch."""
         await self._tasks.close()
--- a/src/turmericlug/rules/edits.py
+++ b/src/turmericlug/rules/edits.py
@@ -1,4 +1,4 @@
-"""Operators' edits: each rebased on the newest document, or in conflict with a named other."""
+"""Operators' edits: each is rebased on the newest document, or reported as a conflict."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @attrs.frozen
 class Change:
-    """One edit as asked for."""
+    """One edit as requested by an operator."""
 
     edit: str
-    """Identifier chosen by the asker; the same one asked twice takes effect once."""
+    """Identifier chosen by the client; an edit sent twice takes effect once."""
     operator: str
     operation: str
     name: str
     base: int
-    """Revision that the operator looked at; 0: the newest."""
+    """Revision that the operator edited; 0: the newest."""
     rule: model.Rule | None = None
     before: str = ""
     after: str = ""
@@ -29,21 +29,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Applied:
-    """The edit fits: the document that holds it."""
+    """The edit applies; ``document`` contains it."""
 
     document: model.Document
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AlreadyStored:
-    """The edit is in the document: an earlier try took effect though its answer was lost."""
+    """The document contains the edit: an earlier attempt took effect but its reply was lost."""
 
     revision: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Conflict:
-    """Another operator touched the same rule since the base."""
+    """An edit stored after the base revision changed the same rule, or the anchor rule."""
 
     operator: str
     operation: str
@@ -53,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Impossible:
-    """The edit makes no sense in this document."""
+    """The edit cannot be applied to this document."""
 
     reason: str
 
@@ -63,48 +63,50 @@
 
 def apply(document: model.Document, change: Change, at_s: int) -> Outcome:
     """
-    Put one edit on top of a document.
+    Apply one edit to a document.
 
-    :param document: the newest one
+    :param document: the newest document
     :param change: the edit
-    :param at_s: wall-clock time, for the history
+    :param at_s: wall-clock time recorded in the history
     """
     for edit in document.edits:
         if edit.edit == change.edit:
             return AlreadyStored(edit.revision)
-    conflict = _conflict(document, change)
+    conflict = _find_conflict(document, change)
     if conflict is not None:
         return conflict
-    rules = _edited(list(document.rules), change)
+    rules = _edit_rules(list(document.rules), change)
     if isinstance(rules, Impossible):
         return rules
     revision = document.revision + 1
     entry = model.Edit(change.edit, revision, change.operator, change.operation, change.name, at_s)
-    edits = (*document.edits, entry)[-model.RECENT_EDITS :]
+    edits = (*document.edits, entry)[-model.EDIT_HISTORY_LENGTH :]
     return Applied(model.Document(revision, tuple(rules), edits))
 
 
-def _conflict(document: model.Document, change: Change) -> Conflict | Impossible | None:
+def _find_conflict(document: model.Document, change: Change) -> Conflict | Impossible | None:
     if not change.base or change.base >= document.revision:
         return None
     oldest = document.edits[0].revision if document.edits else document.revision
     if change.base < oldest - 1:
-        return Impossible(f"revision {change.base} is too old to edit from; list the rules again")
-    touched = {change.name, change.before, change.after} - {""}
+        return Impossible(
+            f"base revision {change.base} is too old to edit from; list the rules again"
+        )
+    affected = {change.name, change.before, change.after} - {""}
     for edit in document.edits:
-        if edit.revision > change.base and edit.rule in touched:
+        if edit.revision > change.base and edit.rule in affected:
             return Conflict(edit.operator, edit.operation, edit.rule, edit.revision)
     return None
 
 
-def _edited(rules: list[model.Rule], change: Change) -> list[model.Rule] | Impossible:
+def _edit_rules(rules: list[model.Rule], change: Change) -> list[model.Rule] | Impossible:
     names = [rule.name for rule in rules]
     if change.operation == ADD:
         if change.name in names:
-            return Impossible(f"{change.name} exists; replace it instead")
+            return Impossible(f"{change.name} already exists; use replace")
         if change.rule is None:
             return Impossible("add needs a rule")
-        return _inserted(rules, change.rule, change)
+        return _insert(rules, change.rule, change)
     if change.name not in names:
         return Impossible(f"there is no rule {change.name}")
     index = names.index(change.name)
@@ -117,16 +119,16 @@
         return rules
     if change.operation == MOVE:
         if not change.before and not change.after:
-            return Impossible("move needs before or after")
-        return _inserted(rules, rule, change)
+            return Impossible("move needs either before or after")
+        return _insert(rules, rule, change)
     return Impossible(f"unknown operation {change.operation}")
 
 
-def _inserted(
+def _insert(
     rules: list[model.Rule], rule: model.Rule, change: Change
 ) -> list[model.Rule] | Impossible:
     if change.before and change.after:
-        return Impossible("name either before or after, not both")
+        return Impossible("before and after exclude each other; give one")
     names = [each.name for each in rules]
     anchor = change.before or change.after
     if anchor and anchor not in names:
--- a/src/turmericlug/rules/model.py
+++ b/src/turmericlug/rules/model.py
@@ -1,4 +1,4 @@
-"""Rules: conditions on a request, the treatment they give, and the document that orders them."""
+"""Rules: conditions on a request, the treatment applied, and the document that orders them."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 PREFER_LATENCY, PREFER_COVERAGE = "latency", "coverage"
 MAX_PRIORITY = 9
 DEFAULT_PRIORITY = 5
-RECENT_EDITS = 64
+EDIT_HISTORY_LENGTH = 64
+"""Edits kept in the document, to detect conflicts and repeated edits."""
 
 
 @attrs.frozen
 class Request:
-    """What rules may look at."""
+    """The properties of a request that rules can match."""
 
     service: str
     caller: str
@@ -28,7 +29,7 @@
 
 @attrs.frozen
 class Treatment:
-    """How a request is served; ``rule`` is empty when no rule matched."""
+    """How a request is served; ``rule`` is empty if no rule matched."""
 
     rule: str = ""
     deadline_ms: int | None = None
@@ -45,22 +46,22 @@
 
 @attrs.frozen
 class Rule:
-    """When every condition holds, then the treatment applies."""
+    """A treatment, applied to requests that meet every condition."""
 
     name: str
     when: dict[str, tuple[str, ...]]
     then: Treatment
 
     def mismatch(self, request: Request) -> str:
-        """Return the first condition that does not hold, or an empty text when all hold."""
+        """Return the first condition that the request fails; empty if it meets all."""
         for key, patterns in self.when.items():
-            value = _value(request, key)
+            value = _request_value(request, key)
             if value is None or not any(fnmatch.fnmatchcase(value, each) for each in patterns):
                 return f"{key} is {value!r}, not {', '.join(patterns)}"
         return ""
 
 
-def _value(request: Request, key: str) -> str | None:
+def _request_value(request: Request, key: str) -> str | None:
     if key.startswith("header_"):
         return request.headers.get(key[len("header_") :].replace("_", "-"))
     return str(getattr(request, key))
@@ -68,7 +69,7 @@
 
 @attrs.frozen
 class Edit:
-    """One accepted change, kept for conflicts, lost answers and the history."""
+    """One stored edit, kept to detect conflicts and repeated edits, and for the history."""
 
     edit: str
     revision: int
@@ -80,58 +81,60 @@
 
 @attrs.frozen
 class Document:
-    """All rules in order, at one revision."""
+    """All rules in order, at one revision, with the most recent edits."""
 
     revision: int
     rules: tuple[Rule, ...]
     edits: tuple[Edit, ...]
 
     def match(self, request: Request) -> Treatment:
-        """Return the treatment of the first rule that matches."""
+        """Return the treatment of the first matching rule, or the default one."""
         for rule in self.rules:
             if not rule.mismatch(request):
                 return rule.then
         return Treatment()
 
     def explain(self, request: Request) -> list[tuple[str, str]]:
-        """Return each rule up to the one that matches, with why it does not; empty: it does."""
-        found = []
+        """Return each rule up to the first match with its failed condition, empty for the match."""
+        steps = []
         for rule in self.rules:
-            found.append((rule.name, rule.mismatch(request)))
-            if not found[-1][1]:
+            steps.append((rule.name, rule.mismatch(request)))
+            if not steps[-1][1]:
                 break
-        return found
+        return steps
 
 
 EMPTY = Document(0, (), ())
 
 
 def covers(earlier: Rule, later: Rule) -> bool:
-    """Whether every request that ``later`` matches is matched by ``earlier`` as well."""
+    """Whether ``earlier`` matches every request that ``later`` matches."""
     for key, patterns in earlier.when.items():
-        narrower = later.when.get(key)
-        if narrower is None:
+        later_patterns = later.when.get(key)
+        if later_patterns is None:
             if "*" in patterns and not key.startswith("header_"):
                 continue
             return False
-        if not all(any(_includes(wide, one) for wide in patterns) for one in narrower):
+        if not all(
+            any(_pattern_includes(broad, one) for broad in patterns) for one in later_patterns
+        ):
             return False
     return True
 
 
-def _includes(wide: str, narrow: str) -> bool:
-    if wide in ("*", narrow):
+def _pattern_includes(broad: str, narrow: str) -> bool:
+    if broad in ("*", narrow):
         return True
-    # A pattern as the narrow side would need language inclusion; equality is enough for it.
-    return not _is_pattern(narrow) and fnmatch.fnmatchcase(narrow, wide)
+    # Whether one pattern includes another is not decided; only equal patterns count.
+    return not _is_pattern(narrow) and fnmatch.fnmatchcase(narrow, broad)
 
 
 def _is_pattern(text: str) -> bool:
-    return any(mark in text for mark in "*?[")
+    return any(char in text for char in "*?[")
 
 
 def to_json(document: Document) -> str:
-    """Turn a document into the text kept in the store."""
+    """Serialize a document for the store."""
     return json.dumps(
         {
             "revision": document.revision,
@@ -142,7 +145,7 @@
 
 
 def rule_to_dict(rule: Rule) -> dict[str, typing.Any]:
-    """Turn a rule into plain values, leaving out what is as by default."""
+    """Convert a rule to JSON types, without default values."""
     default = Treatment()
     then = {
         field.name: getattr(rule.then, field.name)
@@ -154,13 +157,13 @@
 
 
 def from_json(text: str) -> Document:
-    """Read a document as the store holds it."""
+    """Parse a document read from the store."""
     plain = json.loads(text)
     rules = tuple(rule_from_dict(item) for item in plain["rules"])
     return Document(plain["revision"], rules, tuple(Edit(**item) for item in plain["edits"]))
 
 
 def rule_from_dict(item: abc.Mapping[str, typing.Any]) -> Rule:
-    """Read a rule from plain values that were checked before."""
+    """Create a rule from JSON types, which must be valid."""
     when = {key: tuple(patterns) for key, patterns in item["when"].items()}
     return Rule(item["name"], when, Treatment(rule=item["name"], **item["then"]))
--- a/src/turmericlug/rules/parser.py
+++ b/src/turmericlug/rules/parser.py
@@ -1,4 +1,4 @@
-"""Rules as operators write them: INI text, checked with the line and reason of each problem."""
+"""Parses rules from the INI text that operators write, with line and reason of each problem."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class RulesError(Exception):
-    """Rules that can't be accepted."""
+    """Invalid rules; ``problems`` lists every reason."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__("\n".join(f"line {each.line}: {each.reason}" for each in problems))
@@ -36,7 +36,7 @@
 
 def parse(text: str) -> list[model.Rule]:
     """
-    Read rules from INI text: a section ``[rule NAME]`` each, keys ``when_*`` and ``then_*``.
+    Parse rules from INI text: one section ``[rule NAME]`` each, keys ``when_*`` and ``then_*``.
 
     :raises RulesError: with every problem found
     """
@@ -48,11 +48,11 @@
     except configparser.Error as error:
         line = getattr(error, "lineno", None) or _first_error_line(error)
         raise RulesError([Problem(line, str(error).splitlines()[0])]) from error
-    lines = _Lines(text)
+    lines = _LineIndex(text)
     problems: list[Problem] = []
-    rules = [_rule(parser, name, lines, problems) for name in parser.sections()]
+    rules = [_parse_rule(parser, name, lines, problems) for name in parser.sections()]
     if not rules:
-        problems.append(Problem(1, "no rule: a rule begins with a line [rule NAME]"))
+        problems.append(Problem(1, "no rule found; a rule begins with a line [rule NAME]"))
     if problems:
         raise RulesError(problems)
     return rules
@@ -63,8 +63,8 @@
     return errors[0][0] if errors else 1
 
 
-class _Lines:
-    """Finds the line of a section or key, which the INI library does not keep."""
+class _LineIndex:
+    """Finds the line of a section or key, which configparser does not record."""
 
     def __init__(self, text: str) -> None:
         self._sections: dict[str, int] = {}
@@ -77,61 +77,65 @@
             elif "=" in line:
                 self._keys.setdefault((section, line.split("=")[0].strip().lower()), number)
 
-    def of(self, section: str, key: str = "") -> int:
+    def line_of(self, section: str, key: str = "") -> int:
         return self._keys.get((section, key)) or self._sections.get(section, 1)
 
 
-def _rule(
-    parser: configparser.ConfigParser, section: str, lines: _Lines, problems: list[Problem]
+def _parse_rule(
+    parser: configparser.ConfigParser, section: str, lines: _LineIndex, problems: list[Problem]
 ) -> model.Rule:
     name = section.removeprefix(_SECTION).strip()
     if not section.startswith(_SECTION) or not _NAME.match(name):
-        reason = f"[{section}]: expected [rule NAME], the name of lower-case letters, digits, '-'"
-        problems.append(Problem(lines.of(section), reason))
+        reason = (
+            f"[{section}]: expected [rule NAME], with a name of lower-case letters, digits and '-'"
+        )
+        problems.append(Problem(lines.line_of(section), reason))
     when: dict[str, tuple[str, ...]] = {}
     then: dict[str, typing.Any] = {}
     for key, raw in parser[section].items():
         try:
             if key.startswith("when_"):
-                when[key.removeprefix("when_")] = _condition(key.removeprefix("when_"), raw)
+                when[key.removeprefix("when_")] = _parse_condition(key.removeprefix("when_"), raw)
             elif key.startswith("then_"):
-                then[key.removeprefix("then_")] = _action(key.removeprefix("then_"), raw)
+                then[key.removeprefix("then_")] = _parse_action(key.removeprefix("then_"), raw)
             else:
                 raise ValueError("unknown key; keys begin with when_ or then_")
         except ValueError as error:
-            problems.append(Problem(lines.of(section, key), f"{key}: {error}"))
+            problems.append(Problem(lines.line_of(section, key), f"{key}: {error}"))
     if not then:
-        problems.append(Problem(lines.of(section), f"{name}: has no then_ key, so does nothing"))
+        problems.append(
+            Problem(lines.line_of(section), f"{name}: has no then_ key, so it has no effect")
+        )
     treatment = model.Treatment(rule=name, **then) if not problems else model.Treatment()
-    _contradictions(treatment, lines.of(section), problems)
+    _check_contradictions(treatment, lines.line_of(section), problems)
     return model.Rule(name, when, treatment)
 
 
-def _condition(key: str, raw: str) -> tuple[str, ...]:
+def _parse_condition(key: str, raw: str) -> tuple[str, ...]:
     if key not in _CONDITIONS and not key.startswith("header_"):
         raise ValueError(f"unknown condition; known: {', '.join(_CONDITIONS)}, header_NAME")
     patterns = tuple(part.strip() for part in raw.split(",") if part.strip())
     if not patterns:
-        raise ValueError("must not be empty: it could never match")
+        raise ValueError("must not be empty, as it would never match")
     if key == "priority":
         for pattern in patterns:
-            _whole(0, model.MAX_PRIORITY)(pattern)
+            _integer(0, model.MAX_PRIORITY)(pattern)
     return patterns
 
 
-def _action(key: str, raw: str) -> typing.Any:
+def _parse_action(key: str, raw: str) -> typing.Any:
     if key not in _ACTIONS:
         raise ValueError(f"unknown action; known: {', '.join(_ACTIONS)}")
     return _ACTIONS[key](raw)
 
 
-def _whole(low: int, high: int) -> abc.Callable[[str], int]:
-    def parse_whole(raw: str) -> int:
+def _integer(low: int, high: int) -> abc.Callable[[str], int]:
+    def parse_integer(raw: str) -> int:
         if not raw.isdigit() or not low <= int(raw) <= high:
-            raise ValueError(f"{raw!r} is not a whole number from {low} to {high}")
+            raise ValueError(f"{raw!r} is not an integer from {low} to {high}")
         return int(raw)
 
-    return parse_whole
+    return parse_integer
 
 
 def _number(low: float, high: float) -> abc.Callable[[str], float]:
@@ -150,44 +154,46 @@
 def _one_of(*choices: str) -> abc.Callable[[str], str]:
     def parse_choice(raw: str) -> str:
         if raw not in choices:
-            raise ValueError(f"{raw!r} is none of {', '.join(choices)}")
+            raise ValueError(f"{raw!r} is not one of {', '.join(choices)}")
         return raw
 
     return parse_choice
 
 
-def _switch(raw: str) -> bool:
+def _yes_no(raw: str) -> bool:
     return _one_of("yes", "no")(raw) == "yes"
 
 
 def _reason(raw: str) -> str:
     if not _NAME.match(raw):
-        raise ValueError(f"{raw!r}: a reason has lower-case letters, digits and '-'")
+        raise ValueError(
+            f"{raw!r} is not a reason: expected up to 64 lower-case letters, digits and '-'"
+        )
     return raw
 
 
 _ACTIONS: dict[str, abc.Callable[[str], typing.Any]] = {
-    "deadline_ms": _whole(1, 600000),
-    "answer_by_ms": _whole(1, 600000),
+    "deadline_ms": _integer(1, 600000),
+    "answer_by_ms": _integer(1, 600000),
     "min_coverage": _number(0.0, 1.0),
     "prefer": _one_of(model.PREFER_LATENCY, model.PREFER_COVERAGE),
-    "priority": _whole(0, model.MAX_PRIORITY),
-    "hedge": _switch,
-    "retries": _whole(0, 3),
+    "priority": _integer(0, model.MAX_PRIORITY),
+    "hedge": _yes_no,
+    "retries": _integer(0, 3),
     "rate_per_s": _number(0.001, 1e6),
     "refuse": _reason,
-    "come_back_ms": _whole(1, 3600000),
+    "come_back_ms": _integer(1, 3600000),
 }
 
 
-def _contradictions(treatment: model.Treatment, line: int, problems: list[Problem]) -> None:
+def _check_contradictions(treatment: model.Treatment, line: int, problems: list[Problem]) -> None:
     by_ms, deadline_ms = treatment.answer_by_ms, treatment.deadline_ms
     if by_ms and deadline_ms and by_ms > deadline_ms:
-        problems.append(Problem(line, f"{treatment.rule}: answer_by_ms is after deadline_ms"))
+        problems.append(Problem(line, f"{treatment.rule}: answer_by_ms is above deadline_ms"))
     if treatment.prefer == model.PREFER_LATENCY and not by_ms:
-        problems.append(Problem(line, f"{treatment.rule}: prefer = latency needs answer_by_ms"))
+        problems.append(Problem(line, f"{treatment.rule}: prefer = latency requires answer_by_ms"))
     if treatment.refuse and (by_ms or deadline_ms or treatment.rate_per_s):
-        reason = f"{treatment.rule}: refuses, so that its other actions can never apply"
+        reason = f"{treatment.rule}: has refuse, so its other actions never apply"
         problems.append(Problem(line, reason))
 
 
@@ -197,19 +203,20 @@
     line_of: abc.Mapping[str, int] | None = None,
 ) -> None:
     """
-    Reject rules that can never match where they stand.
+    Reject rules that can never match at their position.
 
     :param rules: in order
-    :param catalog: whose services and groups the rules may name
-    :param line_of: line by rule name, for the report
-    :raises RulesError: a rule is hidden by an earlier one, stands twice or names nothing that is
+    :param catalog: the services and groups that rules may name
+    :param line_of: line by rule name, for the problems reported
+    :raises RulesError: a rule is shadowed by an earlier one, has a name used twice, or names an
+        unknown service
     """
     problems = []
     for index, rule in enumerate(rules):
         line = (line_of or {}).get(rule.name, 1)
         for earlier in rules[:index]:
             if earlier.name == rule.name:
-                problems.append(Problem(line, f"{rule.name}: stands twice"))
+                problems.append(Problem(line, f"{rule.name}: the name is used twice"))
             elif model.covers(earlier, rule):
                 reason = f"{rule.name}: can never match, {earlier.name} before it takes all of it"
                 problems.append(Problem(line, reason))
--- a/src/turmericlug/rules/repository.py
+++ b/src/turmericlug/rules/repository.py
@@ -18,17 +18,17 @@
 from turmericlug.storage import store as store_module
 from turmericlug.telemetry import events
 
-_TRIES = 12
+_MAX_ATTEMPTS = 12
 _EMPTY_CATALOG = json.dumps({"services": {}, "groups": {}, "snapshots": []})
 
 
 class RepositoryError(Exception):
-    """The store gave no answer, so that the configuration could not be read."""
+    """The configuration could not be read because the store did not answer."""
 
 
 @attrs.frozen
 class Contents:
-    """All of the configuration, as one read of the store gave it."""
+    """The whole configuration, from one read of the store."""
 
     head: configuration.Head
     rules: model.Document
@@ -44,14 +44,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """The store did not answer: the change may or may not be stored; ask again by its edit."""
+    """The store did not answer; sending the edit again tells whether it was stored."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejected:
-    """The change is not stored, and why."""
+    """The change was not stored, for these reasons."""
 
     problems: list[str]
 
@@ -67,14 +67,14 @@
         self.head_key = f"{prefix}config/head"
         self._prefix = f"{prefix}config/"
         self._history = f"{prefix}history/"
-        self.held: abc.Callable[[], list[configuration.DocumentText]] = list
-        """Returns the documents in force here, which the store accepted once."""
+        self.documents_in_force: abc.Callable[[], list[configuration.DocumentText]] = list
+        """Returns the documents in force on this instance, all of which the store had accepted."""
 
     async def read_head(self) -> configuration.Head:
         """
-        Read which revisions are the newest.
+        Read the newest revisions.
 
-        :raises RepositoryError: the store gave no answer
+        :raises RepositoryError: the store did not answer
         """
         try:
             value = await self._store.read(self.head_key)
@@ -84,17 +84,17 @@
 
     async def read(self) -> Contents:
         """
-        Read all of the configuration at one moment, creating an empty one in a new store.
+        Read the whole configuration at one revision, creating an empty one in a new store.
 
-        Documents that are older there than in force here were lost, as the store has returned from
-        a copy. They are put back: an edit of the older ones would get a revision that instances
-        know for another edit, and would be in force nowhere.
+        A document that is older in the store than in force here was lost when the store was
+        restored from a backup. It is written back: an edit of the older one would get a revision
+        that instances already know as another edit, and would come into force nowhere.
 
-        :raises RepositoryError: the store gave no answer
+        :raises RepositoryError: the store did not answer
         """
         try:
             contents = await self._read()
-            if await self._put_back(contents):
+            if await self._write_back_lost(contents):
                 contents = await self._read()
         except store_module.StoreError as error:
             raise RepositoryError(error.reason) from error
@@ -115,10 +115,10 @@
         ]
         return Contents(head, model.from_json(rules_text), texts)
 
-    async def _put_back(self, contents: Contents) -> bool:
-        """Write the documents that were lost; tells whether there were any."""
+    async def _write_back_lost(self, contents: Contents) -> bool:
+        """Write the documents that the store has lost; return whether there were any."""
         stored = {text.name: text.revision for text in contents.documents}
-        lost = [text for text in self.held() if text.revision > stored[text.name]]
+        lost = [text for text in self.documents_in_force() if text.revision > stored[text.name]]
         if not lost:
             return False
         revisions = stored | {text.name: text.revision for text in lost}
@@ -154,14 +154,14 @@
         """
         Store one edit of the rules.
 
-        A write whose answer was lost is settled by reading: the edit's identifier is in the
-        document if it took effect. If it is not, the same change is swapped in again; should the
-        first write arrive late after all, it fails, since the head has moved.
+        If the reply to a write is lost, a read decides: the document contains the edit's identifier
+        if the write took effect. Otherwise the same change is written again; if the first write
+        arrives late, its compare-and-swap fails because the head has changed.
 
-        :param change: the edit, with an identifier of its own
+        :param change: the edit, with a unique identifier
         """
         reason = "contention"
-        for _ in range(_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             try:
                 contents = await self.read()
             except RepositoryError as error:
@@ -186,7 +186,7 @@
         return Unknown(reason)
 
     async def _write_rules(self, head: configuration.Head, document: model.Document) -> int | str:
-        """Swap a document in; 0: the head moved; a text: the store did not answer."""
+        """Write a document if the head is unchanged; 0: it changed; a text: the store failed."""
         text = model.to_json(document)
         try:
             return await self._store.swap(
@@ -201,12 +201,12 @@
             return error.reason
 
     async def put_catalog(self, text: str) -> Outcome:
-        """Store a whole catalogue, which the catalogue's checks have passed."""
+        """Validate and store a whole catalogue."""
         try:
             catalog_module.parse(text)
         except catalog_module.CatalogError as error:
             return Rejected(error.problems)
-        for _ in range(_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             try:
                 contents = await self.read()
                 if contents.documents[1].text == text:
@@ -222,9 +222,9 @@
 
     async def history(self, limit: int) -> list[dict[str, typing.Any]]:
         """
-        Return the latest edits, the newest first.
+        Return the latest edits, newest first.
 
-        :raises RepositoryError: the store gave no answer
+        :raises RepositoryError: the store did not answer
         """
         contents = await self.read()
         return [attrs.asdict(edit) for edit in reversed(contents.rules.edits)][:limit]
--- a/tests/mutants_daemon.py
+++ b/tests/mutants_daemon.py
@@ -94,7 +94,7 @@
         "rules/repository.py",
         "        if not lost:\n            return False",
         "        if stored:\n            return False",
-        "rules/test_repository.py::test_edits_that_the_store_lost_are_put_back",
+        "rules/test_repository.py::test_lost_edits_are_written_back",
     ),
     mutant.one(
         "heads-alike",
--- a/tests/rules/test_configuration.py
+++ b/tests/rules/test_configuration.py
@@ -15,16 +15,16 @@
 
 
 @pytest.mark.parametrize(
-    ("revisions", "held"), [([1, 2], 2), ([2, 1], 2), ([3, 3, 2], 3), ([5, 4, 6], 6)]
+    ("revisions", "in_force"), [([1, 2], 2), ([2, 1], 2), ([3, 3, 2], 3), ([5, 4, 6], 6)]
 )
-def test_revisions_only_rise(revisions, held):
+def test_lower_revisions_are_ignored(revisions, in_force):
     """
-    A peer that was cut off, or a store brought back from a backup, hands out rules that operators
-    have replaced. They must not come into force again.
+    A peer that was partitioned, or a store restored from a backup, sends rules that operators have
+    replaced. They must not come into force again.
     """
     config = configuration.Configuration(freshness.Freshness(1000), counters.Counters())
-    taken = [config.apply(rules(revision)) for revision in revisions]
-    assert config.rules.revision == held == config.freshness.held.rules
-    assert taken == [
+    applied = [config.apply(rules(revision)) for revision in revisions]
+    assert config.rules.revision == in_force == config.freshness.held.rules
+    assert applied == [
         each > max(revisions[:index], default=0) for index, each in enumerate(revisions)
     ]
--- a/tests/rules/test_edits.py
+++ b/tests/rules/test_edits.py
@@ -15,10 +15,10 @@
 
 
 def document(*names):
-    found = model.Document(0, (), ())
+    result = model.Document(0, (), ())
     for name in names:
-        found = applied(found, "add", name)
-    return found
+        result = applied(result, "add", name)
+    return result
 
 
 def change(operation, name, **fields):
@@ -46,7 +46,7 @@
         ("replace", "b", {}, "abc"),
     ],
 )
-def test_order(operation, name, fields, names):
+def test_edit_gives_expected_order(operation, name, fields, names):
     before = document("a", "b", "c")
     after = applied(before, operation, name, **fields)
     assert "".join(each.name for each in after.rules) == names
@@ -67,31 +67,31 @@
         ("paint", "a", {}),
     ],
 )
-def test_impossible(operation, name, fields):
+def test_inapplicable_edit_is_rejected(operation, name, fields):
     outcome = edits.apply(document("a", "b", "c"), change(operation, name, **fields), 1)
     assert isinstance(outcome, edits.Impossible)
 
 
-def test_same_edit_twice_takes_effect_once():
-    asked = change("add", "d", edit="e1")
-    first = edits.apply(document("a"), asked, 1).document
-    assert edits.apply(first, asked, 2) == edits.AlreadyStored(first.revision)
+def test_repeated_edit_takes_effect_once():
+    wanted = change("add", "d", edit="e1")
+    first = edits.apply(document("a"), wanted, 1).document
+    assert edits.apply(first, wanted, 2) == edits.AlreadyStored(first.revision)
 
 
-def test_edits_of_other_rules_rebase_and_of_the_same_conflict():
+def test_edit_of_other_rule_rebases_and_of_same_rule_conflicts():
     base = document("a", "b")
-    moved_on = applied(base, "replace", "a", rule=rule("a", "x"), operator="bob")
-    other = edits.apply(moved_on, change("retire", "b", base=base.revision), 1)
+    newer = applied(base, "replace", "a", rule=rule("a", "x"), operator="bob")
+    other = edits.apply(newer, change("retire", "b", base=base.revision), 1)
     assert isinstance(other, edits.Applied)
-    same = edits.apply(moved_on, change("retire", "a", base=base.revision), 1)
-    assert same == edits.Conflict("bob", "replace", "a", moved_on.revision)
-    anchor = edits.apply(moved_on, change("add", "c", base=base.revision, after="a"), 1)
+    same = edits.apply(newer, change("retire", "a", base=base.revision), 1)
+    assert same == edits.Conflict("bob", "replace", "a", newer.revision)
+    anchor = edits.apply(newer, change("add", "c", base=base.revision, after="a"), 1)
     assert isinstance(anchor, edits.Conflict)
 
 
-def test_base_too_old_is_told():
-    found = document("a")
-    for number in range(model.RECENT_EDITS + 2):
-        found = applied(found, "replace", "a", edit=f"e{number}")
-    outcome = edits.apply(found, change("retire", "a", base=1), 1)
+def test_too_old_base_revision_is_rejected():
+    result = document("a")
+    for number in range(model.EDIT_HISTORY_LENGTH + 2):
+        result = applied(result, "replace", "a", edit=f"e{number}")
+    outcome = edits.apply(result, change("retire", "a", base=1), 1)
     assert isinstance(outcome, edits.Impossible) and "too old" in outcome.reason
--- a/tests/rules/test_model.py
+++ b/tests/rules/test_model.py
@@ -45,7 +45,7 @@
         ({"service": "workshop", "priority": 1, "data_centre": "lorient"}, "rest"),
     ],
 )
-def test_first_match_decides(changes, rule):
+def test_first_matching_rule_applies(changes, rule):
     document = model.Document(1, tuple(parser.parse(RULES)), ())
     assert document.match(request(**changes)).rule == rule
     steps = document.explain(request(**changes))
@@ -53,5 +53,5 @@
     assert all(reason for _, reason in steps[:-1])
 
 
-def test_no_rule_gives_the_default():
+def test_no_matching_rule_gives_default_treatment():
     assert model.EMPTY.match(request()) == model.Treatment()
--- a/tests/rules/test_parser.py
+++ b/tests/rules/test_parser.py
@@ -12,7 +12,7 @@
 @pytest.mark.parametrize(
     ("given", "problem"),
     [
-        ("", "line 1: no rule"),
+        ("", "line 1: no rule found"),
         ("[rule A]\nthen_hedge = no", "line 1: [rule A]"),
         ("[regel a]\nthen_hedge = no", "line 1: [regel a]"),
         ("[rule a]\n", "line 1: a: has no then_ key"),
@@ -22,23 +22,23 @@
         ("[rule a]\nthen_min_coverage = 1.5", "line 2: then_min_coverage"),
         ("[rule a]\n\nwhen_priority = 12\nthen_hedge = no", "line 3: when_priority"),
         ("[rule a]\nwhen_caller =\nthen_hedge = no", "line 2: when_caller: must not be empty"),
-        ("[rule a]\nthen_prefer = latency", "line 1: a: prefer = latency needs answer_by_ms"),
+        ("[rule a]\nthen_prefer = latency", "line 1: a: prefer = latency requires answer_by_ms"),
         (
             "[rule a]\nthen_answer_by_ms = 9\nthen_deadline_ms = 8\n",
-            "line 1: a: answer_by_ms is after deadline_ms",
+            "line 1: a: answer_by_ms is above deadline_ms",
         ),
-        ("[rule a]\nthen_refuse = x\nthen_deadline_ms = 8\n", "line 1: a: refuses"),
+        ("[rule a]\nthen_refuse = x\nthen_deadline_ms = 8\n", "line 1: a: has refuse"),
         ("[rule a]\nthen_hedge = no\n[rule a]\nthen_hedge = no\n", "line 3"),
         ("[rule a]\nthen_hedge = no\nthen_hedge = yes\n", "line 3"),
     ],
 )
-def test_problems_name_line_and_reason(given, problem):
+def test_problem_gives_line_and_reason(given, problem):
     with pytest.raises(parser.RulesError) as caught:
         parser.parse(given)
     assert str(caught.value).startswith(problem)
 
 
-def test_every_problem_is_told():
+def test_every_problem_is_reported():
     with pytest.raises(parser.RulesError) as caught:
         parser.parse("[rule a]\nthen_x = 1\nwhen_y = 2\n[rule b]\nthen_retries = 9\n")
     assert [problem.line for problem in caught.value.problems[:2]] == [2, 3]
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("earlier", "later", "hidden"),
+    ("earlier", "later", "shadowed"),
     [
         ("", "when_caller = a", True),
         ("when_caller = *", "when_caller = a", True),
@@ -59,11 +59,11 @@
         ("when_header_x = *", "", False),
     ],
 )
-def test_rules_that_can_never_match(earlier, later, hidden):
+def test_shadowed_rule_is_rejected(earlier, later, shadowed):
     rules = parser.parse(
         f"[rule first]\n{earlier}\nthen_hedge = no\n[rule second]\n{later}\nthen_hedge = no\n"
     )
-    if hidden:
+    if shadowed:
         with pytest.raises(parser.RulesError, match="second: can never match, first before"):
             parser.check_reachability(rules, CATALOG)
     else:
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(("name", "known"), [("permis", True), ("per*", True), ("devis", False)])
-def test_unknown_service_never_matches(name, known):
+def test_rule_for_unknown_service_is_rejected(name, known):
     rules = parser.parse(f"[rule a]\nwhen_service = {name}\nthen_hedge = no\n")
     if known:
         parser.check_reachability(rules, CATALOG)
@@ -80,7 +80,7 @@
             parser.check_reachability(rules, CATALOG)
 
 
-def test_a_rule_survives_the_store():
+def test_rule_round_trips_through_json():
     given = (
         "[rule a]\nwhen_service = devis, permis\nwhen_header_x_kind = q*\n"
         "then_answer_by_ms = 80\nthen_min_coverage = 0.9\nthen_prefer = latency\n"
--- a/tests/rules/test_repository.py
+++ b/tests/rules/test_repository.py
@@ -1,4 +1,4 @@
-"""Edits against the store's fake: a state machine of operators, lost and late answers, outages."""
+"""Edits against a fake store: a state machine of operators, lost replies, late writes, outages."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     return edits.Change(edit, operator, operation, name, base, rule)
 
 
-def test_lost_answer_is_settled_by_reading():
-    """The write takes effect, its answer is lost: the edit is stored once and known to be."""
+def test_lost_reply_is_resolved_by_reading():
+    """The write takes effect but its reply is lost: the edit is stored once and reported so."""
 
     async def main():
         store = fake_store.FakeStore()
@@ -38,8 +38,8 @@
     asyncio.run(main())
 
 
-def test_late_write_loses_to_the_repeated_one():
-    """The first write is on its way still when the second is made: one of both takes effect."""
+def test_late_write_fails_after_retry():
+    """The first write arrives after its retry: exactly one of them takes effect."""
 
     async def main():
         store = fake_store.FakeStore()
@@ -54,7 +54,7 @@
     asyncio.run(main())
 
 
-def test_catalogue_and_rules_share_one_head():
+def test_catalogue_and_rules_share_head():
     async def main():
         store = fake_store.FakeStore()
         first = repository.Repository(store, "t/")
@@ -69,8 +69,11 @@
 
 
 @pytest.mark.parametrize("lost", [1, 2, 5], ids=["the latest", "both", "all"])
-def test_edits_that_the_store_lost_are_put_back(lost):
-    """Guards against an accepted edit that is gone, and its revision given to another."""
+def test_lost_edits_are_written_back(lost):
+    """
+    The store is restored from a backup that lacks an accepted edit. The edit must not be lost, nor
+    its revision be given to another edit.
+    """
 
     async def main():
         store = fake_store.FakeStore()
@@ -78,8 +81,8 @@
         await first.read()
         for number, name in enumerate("ab"):
             await first.edit(change(f"e{number}", "add", name))
-        held = (await first.read()).documents
-        first.held = lambda: held
+        documents = (await first.read()).documents
+        first.documents_in_force = lambda: documents
         store.return_from_copy(lost)
         assert await first.edit(change("e2", "add", "c")) == repository.Stored(4)
         contents = await repository.Repository(store, "t/").read()
@@ -92,9 +95,9 @@
 
 class Operators(stateful.RuleBasedStateMachine):
     """
-    Operators edit through instances that share nothing but the store, whose answers get lost or
-    come late and which has outages. What was called stored is in the document or was replaced by
-    a later stored edit; revisions only rise; nothing is applied twice.
+    Operators edit through instances that share only the store. The store loses replies, applies
+    writes late and has outages. An edit reported as stored is in the document or was replaced by a
+    later stored edit; revisions only rise; no edit is applied twice.
     """
 
     def __init__(self):
@@ -107,7 +110,7 @@
         self.unknown = []
         self.newest = 0
 
-    def play(self, instance, wanted):
+    def send_edit(self, instance, wanted):
         outcome = asyncio.run(self.instances[instance].edit(wanted))
         if isinstance(outcome, repository.Stored):
             assert self.stored.setdefault(wanted.edit, outcome.revision) == outcome.revision
@@ -118,24 +121,24 @@
         instance=strategies.integers(0, 1),
         operation=strategies.sampled_from(["add", "replace", "retire"]),
         name=strategies.sampled_from(NAMES),
-        back=strategies.integers(0, 2),
+        behind=strategies.integers(0, 2),
     )
-    def edit(self, instance, operation, name, back):
+    def edit(self, instance, operation, name, behind):
         self.count += 1
-        base = max(0, self.newest - back)
-        self.play(instance, change(f"e{self.count}", operation, name, base=base))
+        base = max(0, self.newest - behind)
+        self.send_edit(instance, change(f"e{self.count}", operation, name, base=base))
 
     @stateful.rule(instance=strategies.integers(0, 1))
-    def repeat_unknown(self, instance):
+    def retry_unknown(self, instance):
         if self.unknown:
-            self.play(instance, self.unknown.pop())
+            self.send_edit(instance, self.unknown.pop())
 
-    @stateful.rule(fates=strategies.lists(strategies.sampled_from(["lost", "late", "dropped"])))
-    def trouble(self, fates):
-        self.store.plan = fates[:4]
+    @stateful.rule(faults=strategies.lists(strategies.sampled_from(["lost", "late", "dropped"])))
+    def plan_faults(self, faults):
+        self.store.plan = faults[:4]
 
     @stateful.rule()
-    def late_writes_arrive(self):
+    def deliver_late_writes(self):
         self.store.deliver()
 
     @stateful.rule(down=strategies.booleans())
@@ -143,7 +146,7 @@
         self.store.down = down
 
     @stateful.invariant()
-    def holds(self):
+    def check_stored_edits(self):
         value = self.store.values.get("t/config/rules")
         document = model.from_json(value.text)
         assert document.revision >= self.newest
@@ -151,7 +154,7 @@
         known = {edit.edit: edit.revision for edit in document.edits}
         assert len(known) == len(document.edits), "an edit took effect twice"
         for edit, revision in self.stored.items():
-            assert known.get(edit) == revision, f"{edit} was called stored and is not"
+            assert known.get(edit) == revision, f"{edit} was reported as stored but is missing"
 
 
 TestOperators = Operators.TestCase
