--- a/src/turmericlug/__init__.py
+++ b/src/turmericlug/__init__.py
@@ -1,4 +1,4 @@
-"""A query tier over many shards: equal daemons, ordered rules, honest answers."""
+"""A query tier over many shards: identical daemons, ordered rules, answers that state gaps."""
 
 from __future__ import annotations
 
--- a/src/turmericlug/catalog/__init__.py
+++ b/src/turmericlug/catalog/__init__.py
@@ -1,1 +1,1 @@
-"""Services, groups of services and the shards of each index snapshot."""
+"""The catalogue: services, groups of services and the shards of each index snapshot."""
--- a/src/turmericlug/config/__init__.py
+++ b/src/turmericlug/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings read from an INI file and checked as a whole."""
+"""Settings from an INI file, validated as a whole."""
--- a/src/turmericlug/config/ini.py
+++ b/src/turmericlug/config/ini.py
@@ -1,4 +1,4 @@
-"""INI settings declared as attrs classes: checked as a whole, every error in one report."""
+"""INI settings declared as attrs classes: validated as a whole, every problem reported."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SettingsError(Exception):
-    """The settings file can't be used; ``problems`` lists every reason."""
+    """Unreadable or invalid settings file; ``problems`` lists every reason."""
 
     def __init__(self, problems: list[str]) -> None:
         super().__init__("\n".join(problems))
@@ -21,20 +21,20 @@
 
 
 def non_empty_text(raw: str) -> str:
-    """Parse a text that must not be empty."""
+    """Parse a string that must not be empty."""
     if not raw:
         raise ValueError("must not be empty")
     return raw
 
 
 def integer(low: int, high: int) -> Parse:
-    """Return the parser of a whole number within bounds."""
+    """Return a parser of integers within bounds."""
 
     def parse(raw: str) -> int:
         try:
             value = int(raw)
         except ValueError:
-            raise ValueError(f"{raw!r} is not a whole number") from None
+            raise ValueError(f"{raw!r} is not an integer") from None
         if not low <= value <= high:
             raise ValueError(f"{value} is outside {low}..{high}")
         return value
@@ -43,7 +43,7 @@
 
 
 def number_up_to(high: float) -> Parse:
-    """Return the parser of a number from 0 to a bound."""
+    """Return a parser of numbers from 0 to a bound."""
 
     def parse(raw: str) -> float:
         try:
@@ -58,32 +58,32 @@
 
 
 def secret(raw: str) -> str:
-    """Parse a secret, which must not be short."""
+    """Parse a secret of at least 16 characters."""
     if len(raw) < 16:
         raise ValueError("must have at least 16 characters")
     return raw
 
 
 def base_url(raw: str) -> str:
-    """Parse a base address."""
+    """Parse the base URL of an HTTP service, without its trailing slashes."""
     if not raw.startswith(("http://", "https://")):
-        raise ValueError(f"{raw!r} is not an http:// or https:// address")
+        raise ValueError(f"{raw!r} is not an http:// or https:// URL")
     return raw.rstrip("/")
 
 
 def key(parse: Parse, default: typing.Any, doc: str) -> typing.Any:
-    """Declare one key: how it is parsed, its default (``None``: required), what it is for."""
+    """Declare a key: its parser, its default (``None``: required) and its description."""
     return attrs.field(default=default, metadata={"parse": parse, "doc": doc})
 
 
 def read(path: pathlib.Path, sections: dict[str, type]) -> dict[str, typing.Any]:
     """
-    Read and check a settings file.
+    Read and validate a settings file.
 
     :param path: the INI file
-    :param sections: the class of each section, its fields declared with ``key``
-    :returns: the sections' objects by name
-    :raises SettingsError: with every problem found, not only the first
+    :param sections: the class of each section, with fields declared by ``key``
+    :returns: an instance of each class by section
+    :raises SettingsError: with every problem found
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
@@ -92,13 +92,13 @@
     except (OSError, UnicodeDecodeError, configparser.Error) as error:
         raise SettingsError([f"{path}: {error}"]) from error
     problems = [f"[{name}]: unknown section" for name in parser.sections() if name not in sections]
-    values = {name: _section(parser, name, cls, problems) for name, cls in sections.items()}
+    values = {name: _parse_section(parser, name, cls, problems) for name, cls in sections.items()}
     if problems:
         raise SettingsError(problems)
     return values
 
 
-def _section(
+def _parse_section(
     parser: configparser.ConfigParser, name: str, cls: type, problems: list[str]
 ) -> typing.Any:
     given = dict(parser[name]) if parser.has_section(name) else {}
--- a/src/turmericlug/config/version.py
+++ b/src/turmericlug/config/version.py
@@ -1,4 +1,4 @@
-"""The ``--version`` option that all programs share."""
+"""The ``--version`` option of all programs."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 import turmericlug
 
 
-def print_version(asked: bool) -> None:
-    """Print the version and end the program, if that was asked for."""
-    if asked:
+def print_version(requested: bool) -> None:
+    """Print the version and exit, if requested."""
+    if requested:
         typer.echo(turmericlug.__version__)
         raise typer.Exit
 
--- a/src/turmericlug/daemon.py
+++ b/src/turmericlug/daemon.py
@@ -40,10 +40,10 @@
 
 EXIT_SETTINGS = 2
 EXIT_RUNTIME = 3
-_COLLECT_THRESHOLDS = (20_000, 20, 50)
-_STATE_PERIOD_S = 0.1
-_JOIN_WAIT_S = 2.0
-_FINISH_LIMIT_S = 60.0
+_GC_THRESHOLDS = (20_000, 20, 50)
+_STATE_INTERVAL_S = 0.1
+_JOIN_TIMEOUT_S = 2.0
+_DRAIN_TIMEOUT_S = 60.0
 
 Kernel = kernel_module.Kernel
 
@@ -107,10 +107,10 @@
         kernel.find("eras"),
     )
     platform = settings.platform
-    follow = detector.follow_list(
+    list_poll = detector.follow_list(
         kernel.find("session"), platform.instances_url, platform.instances_poll_ms / 1000
     )
-    async with tasks.background(detector.run(), follow):
+    async with tasks.background(detector.run(), list_poll):
         try:
             yield detector
         finally:
@@ -130,7 +130,7 @@
     )
     detector.on_newer = distribution.pull_from
     detector.reads_often = distribution.is_reader
-    distribution.refresh_instance_list = _list_reader(kernel, detector)
+    distribution.refresh_instance_list = _instance_list_reader(kernel, detector)
     async with tasks.background(distribution.run(), distribution.run_watch()):
         try:
             yield distribution
@@ -138,10 +138,10 @@
             await distribution.close()
 
 
-def _list_reader(
+def _instance_list_reader(
     kernel: Kernel, detector: detector_module.Detector
 ) -> abc.Callable[[], abc.Awaitable[None]]:
-    """Read the instance list if it answers; else what was read last has to do."""
+    """Return a function that reads the instance list; if that fails, the last one stays in use."""
 
     async def read() -> None:
         url = kernel.find("settings").platform.instances_url
@@ -172,19 +172,19 @@
         kernel.find("session"),
         kernel.find("counters"),
     )
-    async with tasks.background(owner.run(), _tell_state(kernel, owner)):
+    async with tasks.background(owner.run(), _announce_state(kernel, owner)):
         try:
             yield owner
         finally:
             await owner.close()
 
 
-async def _tell_state(kernel: Kernel, owner: owner_module.Owner) -> None:
-    """Tell peers our load, and whether callers and parts may come: not before we have the rules."""
+async def _announce_state(kernel: Kernel, owner: owner_module.Owner) -> None:
+    """Announce load and readiness to peers; not ready until the rules are known to be current."""
     members = kernel.find("mesh").members
     freshness = kernel.find("configuration").freshness
     while True:
-        await asyncio.sleep(_STATE_PERIOD_S)
+        await asyncio.sleep(_STATE_INTERVAL_S)
         members.set_own_load(owner.load_permille())
         current = freshness.is_current()
         if current and not members.own.ready:
@@ -282,7 +282,7 @@
 
 
 async def serve(settings: settings_module.Settings) -> None:
-    """Run one instance until it is told to stop, then stop without cutting anything off."""
+    """Run one instance until it is asked to stop, then drain it and stop."""
     kernel = Kernel()
     counters = counters_module.Counters(
         settings.metrics.statsd_host, settings.metrics.statsd_port, settings.metrics.prefix
@@ -296,8 +296,8 @@
     kernel.provide("configuration", configuration.Configuration(freshness, counters))
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(_report_failure)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     try:
         for name, factory in _SERVICES:
             await kernel.open(name, factory)
@@ -306,10 +306,10 @@
                 repository = repository_module.Repository(kernel.find("store"), prefix)
                 repository.documents_in_force = kernel.find("configuration").documents
                 kernel.provide("repository", repository)
-        await kernel.find("detector").join(_JOIN_WAIT_S)
+        await kernel.find("detector").join(_JOIN_TIMEOUT_S)
         events.emit("instance.started", callers_port=settings.instance.callers_port)
         await stop.wait()
-        await _leave(kernel)
+        await _drain(kernel)
     finally:
         await kernel.close()
     events.emit("instance.stopped")
@@ -321,12 +321,13 @@
     events.emit("task.failed", "error", reason=reason[:500])
 
 
-async def _leave(kernel: Kernel) -> None:
+async def _drain(kernel: Kernel) -> None:
     """
-    Leave without cutting off a request.
+    Drain this instance without interrupting a request.
 
-    Ownership and the entry addresses go first. Callers that still hold this address are served
-    for its lifetime, through the new owners, and told where to move; only then is the port closed.
+    It first gives up its ownership and its entry address. Callers that still use the address are
+    served through the new owners for its lifetime, and told which address to use instead; only then
+    is the port closed.
     """
     settings, mesh = kernel.find("settings"), kernel.find("mesh")
     owner, coordinator = kernel.find("owner"), kernel.find("coordinator")
@@ -335,22 +336,22 @@
     await asyncio.sleep(2 * settings.membership.probe_interval_ms / 1000)
     owner.hand_over()
     await asyncio.sleep(settings.policy.address_lifetime_ms / 1000)
-    end_s = time.monotonic() + _FINISH_LIMIT_S
+    end_s = time.monotonic() + _DRAIN_TIMEOUT_S
     while (owner.in_flight() or coordinator.running) and time.monotonic() < end_s:
         await asyncio.sleep(0.02)
     await kernel.find("callers").finish()
 
 
-def _spare_the_collector() -> None:
+def _tune_garbage_collector() -> None:
     """
-    Keep the cyclic garbage collector from scanning what lives as long as the process.
+    Exclude objects that live as long as the process from cyclic garbage collection.
 
-    A full collection over all loaded modules holds the event loop up for tens of milliseconds,
-    which shows as a tail of the latency and, to peers, as silence.
+    A full collection over all loaded modules blocks the event loop for tens of milliseconds, which
+    shows as tail latency and makes peers see a silent instance.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*_COLLECT_THRESHOLDS)
+    gc.set_threshold(*_GC_THRESHOLDS)
 
 
 application = typer.Typer(add_completion=True)
@@ -359,20 +360,21 @@
 @application.command()
 def main(
     settings_file: typing.Annotated[
-        pathlib.Path, typer.Argument(help="The INI file with this instance's settings.")
+        pathlib.Path, typer.Argument(help="INI file with the settings of this instance.")
     ],
     check_settings: typing.Annotated[
-        bool, typer.Option("--check-settings", help="Check the settings, print problems, exit.")
+        bool,
+        typer.Option("--check-settings", help="Validate the settings, print problems and exit."),
     ] = False,
     version: version_module.Option = False,
 ) -> None:
     """
     Run one turmericlug instance.
 
-    SIGTERM and SIGINT stop it gracefully: it leaves the entry addresses, hands its queues over,
-    serves callers that still hold its address, and exits.
+    SIGTERM and SIGINT stop it gracefully: it gives up its entry address, returns queued parts to their
+    coordinators, serves callers that still use its address, and exits.
 
-    Exit codes: 0 stopped gracefully, 2 the settings can't be used, 3 it could not run.
+    Exit codes: 0 stopped gracefully, 2 invalid settings, 3 the instance could not run.
     """
     try:
         settings = settings_module.load(settings_file)
@@ -381,11 +383,11 @@
             typer.echo(problem, err=True)
         raise typer.Exit(EXIT_SETTINGS) from error
     if check_settings:
-        typer.echo(f"{settings_file}: the settings are usable")
+        typer.echo(f"{settings_file}: the settings are valid")
         return
     events.setup(settings.instance.name)
     try:
-        _spare_the_collector()
+        _tune_garbage_collector()
         with aiomisc.entrypoint(log_config=False) as loop:
             loop.run_until_complete(serve(settings))
     except OSError as error:
@@ -394,5 +396,5 @@
 
 
 def run() -> None:
-    """Start the program."""
+    """Run the command line."""
     application()
--- a/src/turmericlug/kernel/__init__.py
+++ b/src/turmericlug/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""Start order, clean stop and the registry in which services find each other by name."""
+"""Ordered start and stop of services, and the registry in which they find each other by name."""
--- a/src/turmericlug/kernel/kernel.py
+++ b/src/turmericlug/kernel/kernel.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: opens services in order, closes them in reverse, names each one."""
+"""The service container: starts services in order, stops them in reverse, finds them by name."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class UnknownServiceError(LookupError):
-    """A service was asked for by a name under which nothing is running."""
+    """No service is registered under the requested name."""
 
 
 class Kernel:
@@ -24,22 +24,22 @@
         """
         Start a service and register what its context manager yields.
 
-        :param name: the name other services find it under
-        :param factory: makes the context manager that owns the service's life
+        :param name: the name by which other services find it
+        :param factory: creates the context manager that starts and stops the service
         """
         service = await self._stack.enter_async_context(factory(self))
         self._services[name] = service
         return service
 
     def provide(self, name: str, value: typing.Any) -> None:
-        """Register a ready-made value that needs no start or stop."""
+        """Register a value that needs no start or stop."""
         self._services[name] = value
 
     def find(self, name: str) -> typing.Any:
         """
-        Find a running service.
+        Return a registered service or value.
 
-        :raises UnknownServiceError: nothing runs under that name
+        :raises UnknownServiceError: nothing is registered under that name
         """
         try:
             return self._services[name]
@@ -47,5 +47,5 @@
             raise UnknownServiceError(name) from None
 
     async def close(self) -> None:
-        """Stop every service, the newest first."""
+        """Stop every service, in reverse order of start."""
         await self._stack.aclose()
--- a/src/turmericlug/kernel/tasks.py
+++ b/src/turmericlug/kernel/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks of a service: kept from being collected, reported when they fail."""
+"""Background tasks of a service: referenced until done, and reported if they fail."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Tasks:
-    """The tasks that one service started and has to end."""
+    """The tasks that one service has started and must end."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[typing.Any]] = set()
@@ -19,27 +19,27 @@
     def __len__(self) -> int:
         return len(self._tasks)
 
-    def start(self, work: Work) -> asyncio.Task[typing.Any]:
+    def start(self, coroutine: Work) -> asyncio.Task[typing.Any]:
         """Run a coroutine in the background."""
-        task = asyncio.create_task(work)
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
         return task
 
-    def _ended(self, task: asyncio.Task[typing.Any]) -> None:
+    def _on_done(self, task: asyncio.Task[typing.Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            # Each daemon sets a handler that writes the failure to its own log.
+            # Each daemon sets an exception handler that writes the failure to its log.
             task.get_loop().call_exception_handler(
                 {"message": "task failed", "exception": task.exception()}
             )
 
     async def finish(self) -> None:
-        """Wait for all tasks to end by themselves."""
+        """Wait for all tasks to complete, without cancelling them."""
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def close(self) -> None:
-        """Cancel all tasks and wait for them."""
+        """Cancel all tasks and wait for their end."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -47,11 +47,11 @@
 
 
 @contextlib.asynccontextmanager
-async def background(*works: Work) -> abc.AsyncIterator[Tasks]:
-    """Run coroutines for the length of the block."""
+async def background(*coroutines: Work) -> abc.AsyncIterator[Tasks]:
+    """Run coroutines in the background until the block ends."""
     tasks = Tasks()
-    for work in works:
-        tasks.start(work)
+    for coroutine in coroutines:
+        tasks.start(coroutine)
     try:
         yield tasks
     finally:
--- a/tests/catalog/test_catalog.py
+++ b/tests/catalog/test_catalog.py
@@ -6,46 +6,49 @@
 
 from turmericlug.catalog import catalog
 
-GOOD = {
+VALID = {
     "services": {"a": {"slots": 2, "connections": 25}, "b": {"slots": 6, "connections": 100}},
     "groups": {"both": ["a", "b"]},
     "snapshots": [{"name": "s1"}, {"name": "s2", "shards": {"a": ["a.0", "a.1"]}}],
 }
 
 
-def test_reads_what_is_right():
-    found = catalog.parse(json.dumps(GOOD))
-    assert found.members_of("both") == ("a", "b")
-    assert found.members_of("a") == ("a",)
-    assert found.members_of("c") == ()
-    assert found.snapshots[-1].shards_of("a") == ("a.0", "a.1")
-    assert found.snapshots[-1].shards_of("b") == ("b",)
+def test_valid_catalogue():
+    parsed = catalog.parse(json.dumps(VALID))
+    assert parsed.members_of("both") == ("a", "b")
+    assert parsed.members_of("a") == ("a",)
+    assert parsed.members_of("c") == ()
+    assert parsed.snapshots[-1].shards_of("a") == ("a.0", "a.1")
+    assert parsed.snapshots[-1].shards_of("b") == ("b",)
 
 
 @pytest.mark.parametrize(
     ("change", "problem"),
     [
-        ({"extra": 1}, "extra: unknown"),
+        ({"extra": 1}, "extra: unknown key"),
         ({"services": []}, "services: must be an object"),
-        ({"services": {"a": {"slots": 2}}}, "services.a: needs slots"),
-        ({"services": {"a": {"slots": 0, "connections": 2}}}, "whole numbers above 0"),
-        ({"services": {"a": {"slots": 2, "connections": 3}}}, "at least twice the slots"),
-        ({"groups": {"a": ["b"]}}, "groups.a: is also a service"),
+        ({"services": {"a": {"slots": 2}}}, "services.a: must have slots"),
+        ({"services": {"a": {"slots": 0, "connections": 2}}}, "integers above 0"),
+        ({"services": {"a": {"slots": 2, "connections": 3}}}, "at least twice slots"),
+        ({"groups": {"a": ["b"]}}, "groups.a: is also the name of a service"),
         ({"groups": {"g": ["x"]}}, "groups.g: unknown service x"),
-        ({"groups": {"g": []}}, "groups.g: must list services"),
-        ({"snapshots": [{"name": "s"}, {"name": "s"}]}, "snapshots.s: stands twice"),
+        ({"groups": {"g": []}}, "groups.g: must be a non-empty list of services"),
+        ({"snapshots": [{"name": "s"}, {"name": "s"}]}, "snapshots.s: the name is used twice"),
         ({"snapshots": [{"name": "s", "shards": {"x": ["1"]}}]}, "unknown service x"),
-        ({"snapshots": [{"name": "s", "shards": {"a": ["1", "1"]}}]}, "must list distinct shards"),
-        ({"snapshots": [{}]}, "snapshots: each needs a name"),
+        (
+            {"snapshots": [{"name": "s", "shards": {"a": ["1", "1"]}}]},
+            "must be a non-empty list of distinct shards",
+        ),
+        ({"snapshots": [{}]}, "snapshots: each must be an object with a string as name"),
     ],
 )
-def test_problems(change, problem):
+def test_every_problem_is_reported(change, problem):
     with pytest.raises(catalog.CatalogError) as caught:
-        catalog.parse(json.dumps(GOOD | change))
+        catalog.parse(json.dumps(VALID | change))
     assert any(problem in each for each in caught.value.problems)
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{", "3"])
-def test_not_a_catalogue(text):
+def test_text_that_is_no_catalogue_is_rejected(text):
     with pytest.raises(catalog.CatalogError):
         catalog.parse(text)
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -9,7 +9,7 @@
 from turmericlug.config import settings
 
 ROOT = pathlib.Path(__file__).parents[2]
-LEAST = """
+MINIMAL = """
 [instance]
 name = e1
 data_centre = montreal
@@ -31,11 +31,11 @@
     return settings.load(path)
 
 
-def test_least(tmp_path):
-    found = load(tmp_path, LEAST)
-    assert found.instance.callers_port == 7001
-    assert found.platform.instances_url == "http://127.0.0.1:8500"
-    assert found.policy.hedge_budget == 0.05
+def test_minimal_settings(tmp_path):
+    loaded = load(tmp_path, MINIMAL)
+    assert loaded.instance.callers_port == 7001
+    assert loaded.platform.instances_url == "http://127.0.0.1:8500"
+    assert loaded.policy.hedge_budget == 0.05
 
 
 @pytest.mark.parametrize(
@@ -44,7 +44,7 @@
         ("name = e1", "", ["[instance] name: missing"]),
         ("name = e1", "nam = e1", ["[instance] nam: unknown key", "[instance] name: missing"]),
         ("7001", "70001", ["[instance] callers_port: 70001 is outside 1..65535"]),
-        ("7001", "x", ["[instance] callers_port: 'x' is not a whole number"]),
+        ("7001", "x", ["[instance] callers_port: 'x' is not an integer"]),
         ("7001", "7002", ["callers_port, peers_port and operators_port must differ"]),
         ("a-key-of-sixteen-characters", "short", ["cluster_key: must have at least 16"]),
         ("http://127.0.0.1:2379", "127.0.0.1", ["store_url: '127.0.0.1' is not an http"]),
@@ -54,26 +54,26 @@
         (
             "[platform]",
             "[limits]\ndefault_deadline_ms = 900\nmax_deadline_ms = 800\n[platform]",
-            ["default_deadline_ms: is above max_deadline_ms"],
+            ["default_deadline_ms: must not be above max_deadline_ms"],
         ),
     ],
 )
-def test_problems(tmp_path, old, new, problems):
+def test_every_problem_is_reported(tmp_path, old, new, problems):
     with pytest.raises(settings.SettingsError) as caught:
-        load(tmp_path, LEAST.replace(old, new, 1))
+        load(tmp_path, MINIMAL.replace(old, new, 1))
     for problem in problems:
         assert any(problem in each for each in caught.value.problems), caught.value.problems
 
 
-def test_missing_file(tmp_path):
+def test_missing_file_is_rejected(tmp_path):
     with pytest.raises(settings.SettingsError):
         settings.load(tmp_path / "none.ini")
 
 
 @pytest.mark.parametrize("name", ["pluvia", "regie"])
-def test_samples_are_usable(name):
-    found = settings.load(ROOT / "samples" / f"{name}.ini")
-    assert found.instance.name
+def test_samples_are_valid(name):
+    loaded = settings.load(ROOT / "samples" / f"{name}.ini")
+    assert loaded.instance.name
 
 
 def test_reference_lists_every_key():
--- a/tests/kernel/test_kernel.py
+++ b/tests/kernel/test_kernel.py
@@ -9,18 +9,18 @@
 from turmericlug.kernel import tasks
 
 
-def test_services_find_each_other_and_close_in_reverse():
+def test_services_are_found_by_name_and_closed_in_reverse():
     closed = []
 
     def service(name, needs=None):
         @contextlib.asynccontextmanager
-        async def open_it(kernel):
+        async def run_service(kernel):
             if needs:
                 kernel.find(needs)
             yield name
             closed.append(name)
 
-        return open_it
+        return run_service
 
     async def main():
         kernel = kernel_module.Kernel()
@@ -35,7 +35,7 @@
     assert closed == ["b", "a"]
 
 
-def test_background_tasks_end_with_the_block():
+def test_background_tasks_are_cancelled_at_end_of_block():
     ended = []
 
     async def forever():
@@ -45,7 +45,7 @@
             ended.append(True)
 
     async def fails():
-        raise ValueError("told, not raised")
+        raise ValueError("reported, not raised")
 
     async def main():
         async with tasks.background(forever(), fails()) as running:
