--- a/src/turmericlug/daemon.py
+++ b/src/turmericlug/daemon.py
@@ -371,8 +371,8 @@
     """
     Run one turmericlug instance.
 
-    SIGTERM and SIGINT stop it gracefully: it gives up its entry address, returns queued parts to their
-    coordinators, serves callers that still use its address, and exits.
+    SIGTERM and SIGINT stop it gracefully: it gives up its entry address, returns queued parts to
+    their coordinators, serves callers that still use its address, and exits.
 
     Exit codes: 0 stopped gracefully, 2 invalid settings, 3 the instance could not run.
     """
--- a/src/turmericlug/rules/distribution.py
+++ b/src/turmericlug/rules/distribution.py
@@ -28,7 +28,7 @@
 READERS_PER_DATA_CENTRE = 2
 """Instances per data centre that read the store's head; the others learn from peers."""
 FALLBACK_READERS = 2
-"""Expected number of other instances of a data centre that read when their evidence is stale."""
+"""Expected number of other instances of a data centre that read when evidence is stale."""
 CONFIRM_TIMEOUT_S = 3.0
 _CHILD_TIMEOUT_SHARE = 0.6
 """Share of its own timeout that a node of the tree gives its children."""
@@ -99,8 +99,8 @@
 
     def _serving_in_own_data_centre(self) -> list[members_module.Member]:
         members = self._detector.members
-        centre = members.own.data_centre
-        return [each for each in members.serving() if each.data_centre == centre]
+        own_data_centre = members.own.data_centre
+        return [each for each in members.serving() if each.data_centre == own_data_centre]
 
     def _is_reader_among(self, local: list[members_module.Member]) -> bool:
         own = self._detector.members.own
@@ -108,12 +108,12 @@
         return own.instance in [each.instance for each in ranked[:READERS_PER_DATA_CENTRE]]
 
     def _should_read_store(self) -> bool:
-        """Whether this instance is a reader, or a fallback one because its evidence is stale."""
+        """Whether this instance reads the store: regularly, or as a fallback on stale evidence."""
         local = self._serving_in_own_data_centre()
         if self._is_reader_among(local):
             return True
-        # Other instances read if the regular readers have failed or cannot reach the store. The
-        # random draw prevents all of them from calling the store at once during its outage.
+        # Fallback readers cover regular readers that failed or cannot reach the store. In an outage
+        # of the store, the random draw keeps the other instances from all calling it at once.
         if self._config.freshness.age_ms() <= self._freshness_ms:
             return False
         return random.random() < FALLBACK_READERS / max(len(local), 1)
@@ -126,8 +126,8 @@
             if not head.rules or head.revisions != self._config.freshness.held:
                 contents = await self._repository.read()
                 head = contents.head
-                for text in contents.documents:
-                    self._config.apply(text)
+                for document in contents.documents:
+                    self._config.apply(document)
         except repository_module.RepositoryError:
             self.store_reachable = False
             return False
@@ -169,9 +169,9 @@
         """Reply with the documents that are newer than those of the requesting peer."""
         known = dict(entry.split(">") for entry in request.message.documents)
         newer = [
-            {"name": text.name, "revision": text.revision, "text": text.text}
-            for text in self._config.documents()
-            if text.revision > int(known.get(text.name, 0))
+            {"name": document.name, "revision": document.revision, "text": document.text}
+            for document in self._config.documents()
+            if document.revision > int(known.get(document.name, 0))
         ]
         request.reply(lambda envelope: setattr(envelope, "documentsReply", newer))
 
@@ -223,9 +223,9 @@
             message = envelope.init("spread")
             message.stamp = self._detector.stamp()
             message.documents = [
-                {"name": text.name, "revision": text.revision, "text": text.text}
-                for text in self._config.documents()
-                if text.name in only
+                {"name": document.name, "revision": document.revision, "text": document.text}
+                for document in self._config.documents()
+                if document.name in only
             ]
             message.members = members
             message.remainingMs = int(timeout_s * 1000)
--- a/src/turmericlug/rules/parser.py
+++ b/src/turmericlug/rules/parser.py
@@ -116,7 +116,7 @@
         raise ValueError(f"unknown condition; known: {', '.join(_CONDITIONS)}, header_NAME")
     patterns = tuple(part.strip() for part in raw.split(",") if part.strip())
     if not patterns:
-        raise ValueError("must not be empty, as it would never match")
+        raise ValueError("must not be empty: an empty condition never matches")
     if key == "priority":
         for pattern in patterns:
             _integer(0, model.MAX_PRIORITY)(pattern)
@@ -164,7 +164,7 @@
     return _one_of("yes", "no")(raw) == "yes"
 
 
-def _reason(raw: str) -> str:
+def _parse_reason(raw: str) -> str:
     if not _NAME.match(raw):
         raise ValueError(
             f"{raw!r} is not a reason: expected up to 64 lower-case letters, digits and '-'"
@@ -181,7 +181,7 @@
     "hedge": _yes_no,
     "retries": _integer(0, 3),
     "rate_per_s": _number(0.001, 1e6),
-    "refuse": _reason,
+    "refuse": _parse_reason,
     "come_back_ms": _integer(1, 3600000),
 }
 
--- a/src/turmericlug/rules/repository.py
+++ b/src/turmericlug/rules/repository.py
@@ -117,26 +117,26 @@
 
     async def _write_back_lost(self, contents: Contents) -> bool:
         """Write the documents that the store has lost; return whether there were any."""
-        stored = {text.name: text.revision for text in contents.documents}
-        lost = [text for text in self.documents_in_force() if text.revision > stored[text.name]]
+        stored = {document.name: document.revision for document in contents.documents}
+        lost = [each for each in self.documents_in_force() if each.revision > stored[each.name]]
         if not lost:
             return False
-        revisions = stored | {text.name: text.revision for text in lost}
-        puts = {f"{self._prefix}{text.name}": text.text for text in lost}
-        for text in lost:
-            if text.name == configuration.RULES:
-                puts[f"{self._history}{text.revision:012d}"] = text.text
+        revisions = stored | {document.name: document.revision for document in lost}
+        puts = {f"{self._prefix}{document.name}": document.text for document in lost}
+        for document in lost:
+            if document.name == configuration.RULES:
+                puts[f"{self._history}{document.revision:012d}"] = document.text
         puts[self.head_key] = configuration.head_to_json(
             revisions[configuration.RULES], revisions[configuration.CATALOG]
         )
         if await self._store.swap([contents.head.stored], puts):
-            for text in lost:
+            for document in lost:
                 events.emit(
                     "rules.put_back",
                     "warning",
-                    document=text.name,
-                    revision=text.revision,
-                    stored=stored[text.name],
+                    document=document.name,
+                    revision=document.revision,
+                    stored=stored[document.name],
                 )
         return True
 
--- a/tests/rules/test_repository.py
+++ b/tests/rules/test_repository.py
@@ -28,12 +28,12 @@
 
     async def main():
         store = fake_store.FakeStore()
-        first = repository.Repository(store, "t/")
-        await first.read()
+        repo = repository.Repository(store, "t/")
+        await repo.read()
         store.plan = ["lost"]
-        outcome = await first.edit(change("e1", "add", "a"))
+        outcome = await repo.edit(change("e1", "add", "a"))
         assert outcome == repository.Stored(2)
-        assert await first.edit(change("e1", "add", "a")) == repository.Stored(2)
+        assert await repo.edit(change("e1", "add", "a")) == repository.Stored(2)
 
     asyncio.run(main())
 
@@ -43,12 +43,12 @@
 
     async def main():
         store = fake_store.FakeStore()
-        first = repository.Repository(store, "t/")
-        await first.read()
+        repo = repository.Repository(store, "t/")
+        await repo.read()
         store.plan = ["late"]
-        outcome = await first.edit(change("e1", "add", "a"))
+        outcome = await repo.edit(change("e1", "add", "a"))
         store.deliver()
-        contents = await first.read()
+        contents = await repo.read()
         assert outcome == repository.Stored(2) and contents.head.rules == 2
 
     asyncio.run(main())
@@ -57,12 +57,12 @@
 def test_catalogue_and_rules_share_head():
     async def main():
         store = fake_store.FakeStore()
-        first = repository.Repository(store, "t/")
+        repo = repository.Repository(store, "t/")
         text = json.dumps({"services": {"s": {"slots": 1, "connections": 2}}})
-        assert await first.put_catalog(text) == repository.Stored(2)
-        assert await first.put_catalog(text) == repository.Stored(2)
-        assert isinstance(await first.put_catalog("{"), repository.Rejected)
-        head = await first.read_head()
+        assert await repo.put_catalog(text) == repository.Stored(2)
+        assert await repo.put_catalog(text) == repository.Stored(2)
+        assert isinstance(await repo.put_catalog("{"), repository.Rejected)
+        head = await repo.read_head()
         assert (head.rules, head.catalog) == (1, 2)
 
     asyncio.run(main())
@@ -77,14 +77,14 @@
 
     async def main():
         store = fake_store.FakeStore()
-        first = repository.Repository(store, "t/")
-        await first.read()
+        repo = repository.Repository(store, "t/")
+        await repo.read()
         for number, name in enumerate("ab"):
-            await first.edit(change(f"e{number}", "add", name))
-        documents = (await first.read()).documents
-        first.documents_in_force = lambda: documents
+            await repo.edit(change(f"e{number}", "add", name))
+        documents = (await repo.read()).documents
+        repo.documents_in_force = lambda: documents
         store.return_from_copy(lost)
-        assert await first.edit(change("e2", "add", "c")) == repository.Stored(4)
+        assert await repo.edit(change("e2", "add", "c")) == repository.Stored(4)
         contents = await repository.Repository(store, "t/").read()
         assert {rule.name for rule in contents.rules.rules} == {"a", "b", "c"}
         assert [edit.edit for edit in contents.rules.edits] == ["e0", "e1", "e2"]
