--- a/src/turmericlug/__init__.py
+++ b/src/turmericlug/__init__.py
@@ -1,4 +1,4 @@
-"""A query tier over many shards: identical daemons, ordered rules, answers that state gaps."""
+"""A query tier over many shards: identical daemons, ordered rules, missing shards reported."""
 
 from __future__ import annotations
 
