--- a/src/turmericlug/entry/settings.py
+++ b/src/turmericlug/entry/settings.py
@@ -28,9 +28,9 @@
 class Entry:
     """Section ``[entry]``: the instance's identity and the addresses it listens at."""
 
-    name: str = ini.key(ini.text, None, "unique name of this instance")
-    data_centre: str = ini.key(ini.text, None, "data centre of this instance")
-    region: str = ini.key(ini.text, None, "region of the data centre")
+    name: str = ini.key(ini.non_empty_text, None, "unique name of this instance")
+    data_centre: str = ini.key(ini.non_empty_text, None, "data centre of this instance")
+    region: str = ini.key(ini.non_empty_text, None, "region of the data centre")
     data_centres: dict[str, str] = ini.key(_regions, None, "region of each data centre")
     callers_address: tuple[str, int] = ini.key(_address, None, "where callers connect")
     ready_address: tuple[str, int] = ini.key(_address, None, "where the readiness check is served")
@@ -54,18 +54,22 @@
 class Limits:
     """Section ``[limits]``: resource limits of the process."""
 
-    descriptors: int = ini.key(ini.whole(256, 1 << 20), 4096, "file descriptors")
+    descriptors: int = ini.key(ini.integer(256, 1 << 20), 4096, "file descriptors")
 
 
 @attrs.frozen
 class Policy:
     """Section ``[policy]``: limits that apply to all instances together."""
 
-    extra_ratio: float = ini.key(ini.ratio(10.0), 0.2, "hedges and retries per request")
-    extra_slack: float = ini.key(ini.ratio(1e6), 50.0, "further hedges and retries in each window")
-    extra_window_s: float = ini.key(ini.ratio(3600.0), 10.0, "length of a window")
-    grace_s: float = ini.key(ini.ratio(3600.0), 6.0, "time from SIGTERM to forced termination")
-    quarantine: int = ini.key(ini.whole(0, 1), 1, "1: withhold requests that crash replicas")
+    extra_ratio: float = ini.key(ini.number_up_to(10.0), 0.2, "hedges and retries per request")
+    extra_slack: float = ini.key(
+        ini.number_up_to(1e6), 50.0, "further hedges and retries in each window"
+    )
+    extra_window_s: float = ini.key(ini.number_up_to(3600.0), 10.0, "length of a window")
+    grace_s: float = ini.key(
+        ini.number_up_to(3600.0), 6.0, "time from SIGTERM to forced termination"
+    )
+    quarantine: int = ini.key(ini.integer(0, 1), 1, "1: withhold requests that crash replicas")
 
 
 @attrs.frozen
--- a/src/turmericlug/query/coordinator.py
+++ b/src/turmericlug/query/coordinator.py
@@ -224,7 +224,7 @@
         parts = tuple(
             (service, shard)
             for service in catalog.members_of(query.service)
-            for shard in snapshot.of(service)
+            for shard in snapshot.shards_of(service)
         )
         parameters = submission.QueryParameters(
             query_id=query_id,
--- a/tests/rules/test_model.py
+++ b/tests/rules/test_model.py
@@ -3,7 +3,7 @@
 import pytest
 
 from turmericlug.rules import model
-from turmericlug.rules import text
+from turmericlug.rules import parser
 
 RULES = """
 [rule nurses]
@@ -45,13 +45,13 @@
         ({"service": "workshop", "priority": 1, "data_centre": "lorient"}, "rest"),
     ],
 )
-def test_first_match_decides(changes, rule):
-    document = model.Document(1, tuple(text.parse(RULES)), ())
+def test_first_matching_rule_applies(changes, rule):
+    document = model.Document(1, tuple(parser.parse(RULES)), ())
     assert document.match(request(**changes)).rule == rule
     steps = document.explain(request(**changes))
     assert steps[-1] == (rule, "")
     assert all(reason for _, reason in steps[:-1])
 
 
-def test_no_rule_gives_the_default():
+def test_no_matching_rule_gives_default_treatment():
     assert model.EMPTY.match(request()) == model.Treatment()
