--- a/src/turmericlug/daemon.py
+++ b/src/turmericlug/daemon.py
@@ -156,7 +156,7 @@
     records = records_module.Records(
         kernel.find("settings"), kernel.find("store"), kernel.find("mesh"), kernel.find("counters")
     )
-    kernel.find("eras").on_return.append(records.check)
+    kernel.find("eras").on_restore.append(records.reconcile)
     try:
         yield records
     finally:
--- a/src/turmericlug/membership/detector.py
+++ b/src/turmericlug/membership/detector.py
@@ -45,7 +45,7 @@
         self.mesh = mesh
         self.eras = eras or eras_module.Eras()
         self.members = mesh.members
-        self.listed: dict[str, instances.Listed] = {}
+        self.listed: dict[str, instances.ListedInstance] = {}
         self.reads_often: abc.Callable[[], bool] = lambda: True
         self.on_newer: abc.Callable[[str], None] = lambda instance: None
         self._freshness = freshness
@@ -164,7 +164,7 @@
                 self._suspects.setdefault(member.instance, time.monotonic())
 
     def _take_stamp(self, peer: str, stamp: typing.Any, asked_at_s: float) -> None:
-        self.eras.heard(stamp.storeEra)
+        self.eras.observe(stamp.storeEra)
         revisions = freshness_module.Revisions(stamp.rulesRevision, stamp.catalogRevision)
         self._freshness.from_peer(asked_at_s, revisions, stamp.evidenceAgeMs)
         if not self._freshness.held.covers(revisions):
@@ -217,7 +217,7 @@
         """Answer a probe, or make one for a peer that can't reach the instance itself."""
         probe = request.message.probe
         self._learn(probe.news)
-        self.eras.heard(probe.stamp.storeEra)
+        self.eras.observe(probe.stamp.storeEra)
         revisions = freshness_module.Revisions(
             probe.stamp.rulesRevision, probe.stamp.catalogRevision
         )
@@ -277,7 +277,7 @@
 
         :raises instances.InstancesError: it does not answer
         """
-        found = await instances.read(session, url, instances.DAEMONS, _LIST_TIMEOUT_S)
+        found = await instances.read(session, url, instances.OWN_SERVICE, _LIST_TIMEOUT_S)
         self.listed = {entry.instance: entry for entry in found if not entry.leaving}
 
     async def close(self) -> None:
--- a/src/turmericlug/owner/owner.py
+++ b/src/turmericlug/owner/owner.py
@@ -240,7 +240,7 @@
                 self._generations.pop(instance, None)
         await asyncio.gather(*warmed)
 
-    def _new_replica(self, entry: instances.Listed, slots: int) -> replica_module.Replica:
+    def _new_replica(self, entry: instances.ListedInstance, slots: int) -> replica_module.Replica:
         self._generations[entry.instance] = entry.generation
         replica = replica_module.Replica(
             entry.instance,
--- a/src/turmericlug/records/ledger.py
+++ b/src/turmericlug/records/ledger.py
@@ -156,7 +156,7 @@
             if waiting in self._waiting:
                 self._waiting.remove(waiting)
 
-    def check(self) -> None:
+    def reconcile(self) -> None:
         """Read the log again and put back what is missing there."""
         self._head = None
         if self._entries:
@@ -281,8 +281,8 @@
         """Tell until when records may be lost, given the era in which the log was written."""
         eras = self._store.eras
         self._era = eras.latest
-        if eras.returned_at_s is not None:
-            doubted_until_s = max(doubted_until_s, eras.returned_at_s)
+        if eras.restored_at_s is not None:
+            doubted_until_s = max(doubted_until_s, eras.restored_at_s)
         elif 0 < written_era < self._era:
             doubted_until_s = time.time()
         self._doubted_until_s = max(doubted_until_s, self._doubted_until_s)
--- a/src/turmericlug/records/records.py
+++ b/src/turmericlug/records/records.py
@@ -93,10 +93,10 @@
             self._tasks.start(bucket.run())
         return self._buckets[number]
 
-    def check(self) -> None:
+    def reconcile(self) -> None:
         """Compare the store's records with those known here, as it has returned from a copy."""
         for bucket in self._buckets.values():
-            bucket.check()
+            bucket.reconcile()
 
     async def ask(self, wanted: ledger.Operation, timeout_s: float) -> ledger.Verdict:
         """
--- a/src/turmericlug/storage/eras.py
+++ b/src/turmericlug/storage/eras.py
@@ -20,18 +20,18 @@
         self._now_s = now_s
         self.latest = 0
         """0: none was told yet."""
-        self.returned_at_s: float | None = None
+        self.restored_at_s: float | None = None
         """Wall-clock time at which the latest return was heard of; ``None``: none so far."""
-        self.on_return: list[abc.Callable[[], None]] = []
+        self.on_restore: list[abc.Callable[[], None]] = []
 
-    def heard(self, era: int) -> None:
+    def observe(self, era: int) -> None:
         """Take note of the era that an answer or a peer tells."""
         if era <= self.latest:
             return
         before, self.latest = self.latest, era
         if not before:
             return
-        self.returned_at_s = self._now_s()
+        self.restored_at_s = self._now_s()
         events.emit("store.returned_from_copy", "warning", era=era, before=before)
-        for listener in self.on_return:
+        for listener in self.on_restore:
             listener()
--- a/src/turmericlug/storage/instances.py
+++ b/src/turmericlug/storage/instances.py
@@ -8,7 +8,7 @@
 import aiohttp
 import attrs
 
-DAEMONS = "turmericlug"
+OWN_SERVICE = "turmericlug"
 """The service under which the platform lists our own daemons."""
 
 
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class Listed:
+class ListedInstance:
     """One instance as the platform lists it; the list lags, so this is a hint."""
 
     instance: str
@@ -31,11 +31,11 @@
 
 async def read(
     session: aiohttp.ClientSession, url: str, service: str, timeout_s: float
-) -> list[Listed]:
+) -> list[ListedInstance]:
     """
     Read all instances of one service.
 
-    :param service: a service of the catalogue, or ``DAEMONS``
+    :param service: a service of the catalogue, or ``OWN_SERVICE``
     :raises InstancesError: no answer, or one that is not a list of instances
     """
     try:
@@ -48,9 +48,9 @@
         raise InstancesError(type(error).__name__) from error
 
 
-def _listed(item: dict[str, typing.Any]) -> Listed:
+def _listed(item: dict[str, typing.Any]) -> ListedInstance:
     service = item["Service"]
-    return Listed(
+    return ListedInstance(
         instance=service["ID"],
         generation=int(service.get("CreateIndex", 0)),
         host=service["Address"],
--- a/src/turmericlug/storage/store.py
+++ b/src/turmericlug/storage/store.py
@@ -144,7 +144,7 @@
     def _hear_era(self, response: aiohttp.ClientResponse) -> None:
         told = response.headers.get(_ERA_HEADER, "")
         if told.isascii() and told.isdigit() and len(told) <= _ERA_DIGITS:
-            self.eras.heard(int(told))
+            self.eras.observe(int(told))
 
     def _failed(self, error: BaseException) -> StoreError:
         if isinstance(error, TimeoutError):
--- a/tests/fake_store.py
+++ b/tests/fake_store.py
@@ -31,14 +31,14 @@
     async def read_prefix(self, prefix):
         if self.down:
             raise store_module.StoreError("unreachable")
-        self.eras.heard(self.era)
+        self.eras.observe(self.era)
         return [self.values[key] for key in sorted(self.values) if key.startswith(prefix)]
 
     async def swap(self, expected, puts):
         if self.down:
             raise store_module.StoreError("unreachable")
         self.swaps += 1
-        self.eras.heard(self.era)
+        self.eras.observe(self.era)
         fate = self.plan.pop(0) if self.plan else "ok"
         if fate == "late":
             self.delayed.append((expected, puts))
@@ -59,7 +59,7 @@
             self.values[key] = store_module.Value(key, text, self.revision)
         return self.revision
 
-    def return_from_copy(self, writes):
+    def restore_backup(self, writes):
         """Lose the latest writes; their revisions are given out again."""
         for _ in range(min(writes, len(self.copies))):
             self.revision, self.values = self.copies.pop()
--- a/tests/integration/test_store_returns.py
+++ b/tests/integration/test_store_returns.py
@@ -57,14 +57,14 @@
 
 
 async def return_once(store, running, version):
-    lost = store.return_from_copy(3)
+    lost = store.restore_backup(3)
     store.write_again(lost)
     return version
 
 
 async def return_twice(store, running, version):
     for _ in range(2):
-        lost = store.return_from_copy(3)
+        lost = store.restore_backup(3)
         await asyncio.sleep(0.5)
         store.write_again(lost)
     return version
@@ -75,7 +75,7 @@
     known = store.revision
     for each in running:
         each.signal(signal.SIGSTOP)
-    store.write_again(store.return_from_copy(4))
+    store.write_again(store.restore_backup(4))
     configure(store, version + 1)
     while store.revision <= known:
         store.put("servers/i-filler", b"{}")
@@ -88,7 +88,7 @@
     """Return while an instance is killed and starts again."""
     running[1].signal(signal.SIGKILL)
     await running[1].process.wait()
-    lost = store.return_from_copy(3)
+    lost = store.restore_backup(3)
     await running[1].start()
     await entry_process.until(lambda: entry_process.ready(running[1]))
     store.write_again(lost)
@@ -153,7 +153,7 @@
                 gone = running[2]
                 gone.signal(number)
                 await entry_process.until(lambda: entries(store) == names - {gone.name})
-                store.return_from_copy(1)
+                store.restore_backup(1)
                 assert entries(store) == names
                 await entry_process.until(lambda: entries(store) == names - {gone.name}, TOLD_S)
                 await asyncio.sleep(1.0)
@@ -172,7 +172,7 @@
                 names = {each.name for each in running}
                 await entry_process.until(lambda: entries(store) == names)
                 for _ in range(2):
-                    store.write_again(store.return_from_copy(store.revision - before))
+                    store.write_again(store.restore_backup(store.revision - before))
                     assert not entries(store)
                     await entry_process.until(lambda: entries(store) == names, TOLD_S)
                 leases = {each["Lease"] for key, each in store.items.items() if "/inst" in key}
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -111,7 +111,7 @@
 
 async def _silent(standin, store, after):
     """Wait on a connection that went silent, while another call hears of the return."""
-    standin.cut_on_return = False
+    standin.cut_on_restore = False
     waiting = asyncio.create_task(store.changes(after, 20.0))
     await asyncio.sleep(0.05)
     returned(standin)
@@ -123,7 +123,7 @@
 def returned(standin, past=1):
     """Return from a copy and count up to the revision that was known, or past it."""
     known = standin.revision
-    standin.return_from_copy(2)
+    standin.restore_backup(2)
     while standin.revision < known + past:
         standin.put("other/key", b"again")
 
@@ -194,7 +194,7 @@
             standin.remove("op/evacuate/dc-1")
             evacuate(standin)
             standin.stale_copy = standin.copied()
-            standin.return_from_copy(4)
+            standin.restore_backup(4)
             for version in range(counted):
                 standin.put("op/config", standin_platform.configuration(10 + version, [], []))
             snapshot = await store.read_all(may_be_stale=True)
--- a/tests/records/test_ledger.py
+++ b/tests/records/test_ledger.py
@@ -119,7 +119,7 @@
         first, second = bucket(store), bucket(store)
         for number in range(2):
             await ask(first, operation("claim", f"a{number}", f"k{number}"))
-        store.return_from_copy(1)
+        store.restore_backup(1)
         later_s = int(time.time()) + LATER_S
         granted = await ask(second, operation("claim", "b", "y", at_s=later_s))
         assert granted.outcome == "granted"
@@ -144,14 +144,14 @@
     async def main():
         store = fake_store.FakeStore()
         first, second = bucket(store), bucket(store)
-        store.eras.on_return += [first.check, second.check]
+        store.eras.on_restore += [first.reconcile, second.reconcile]
         made = operation("claim", "a", at_s=again.created_at_s)
         await ask(second, operation("claim", "x", "x"))
         assert (await ask(first, made)).outcome == "granted"
         if last != "claim":
             await ask(first, operation(last, "a", outcome="done" if last == "settle" else ""))
-        store.return_from_copy(2)
-        store.eras.heard(store.era)
+        store.restore_backup(2)
+        store.eras.observe(store.era)
         running = asyncio.create_task(first.run())
         async with asyncio.timeout(5):
             while not first._counters.totals["records.written_again"]:
@@ -177,7 +177,7 @@
         gone, other = bucket(store), bucket(store)
         await ask(other, operation("claim", "x", "x"))
         assert (await ask(gone, operation("claim", "a", at_s=at_s))).outcome == "granted"
-        store.return_from_copy(1)
+        store.restore_backup(1)
         if not heard:
             store.eras = eras.Eras()
         fresh = bucket(store)
@@ -202,8 +202,8 @@
         async def lost(expected, puts):
             revision = await swap(expected, puts)
             store.swap = swap
-            store.return_from_copy(1)
-            store.eras.heard(store.era)
+            store.restore_backup(1)
+            store.eras.observe(store.era)
             return revision
 
         store.swap = lost
@@ -230,7 +230,7 @@
 
         store.read_prefix = read_prefix
         running = asyncio.create_task(writer.run())
-        writer.check()
+        writer.reconcile()
         await asyncio.sleep(0.4)
         running.cancel()
         assert len(reads) == 1
@@ -246,9 +246,9 @@
         first, second = bucket(store), bucket(store)
         await ask(second, operation("claim", "x", "x"))
         await ask(first, operation("claim", "a"))
-        store.eras.on_return.append(second.check)
-        store.return_from_copy(1)
-        store.eras.heard(store.era)
+        store.eras.on_restore.append(second.reconcile)
+        store.restore_backup(1)
+        store.eras.observe(store.era)
         assert (await ask(second, operation("settle", "a", outcome="done"))).outcome == "granted"
         found = await ask(second, operation("claim", "b"))
         assert (found.outcome, found.detail) == ("settled", "done")
@@ -268,7 +268,7 @@
         super().__init__()
         self.store = fake_store.FakeStore()
         self.writers = [bucket(self.store) for _ in range(3)]
-        self.store.eras.on_return.append(lambda: [each.check() for each in self.writers])
+        self.store.eras.on_restore.append(lambda: [each.reconcile() for each in self.writers])
         self.ran = {}
         self.outcomes = {}
         self.count = 0
@@ -324,8 +324,8 @@
         self.store.down = down
 
     @stateful.rule(writes=strategies.integers(0, 4))
-    def return_from_copy(self, writes):
-        self.store.return_from_copy(writes)
+    def restore_backup(self, writes):
+        self.store.restore_backup(writes)
 
     @stateful.rule(writer=strategies.integers(0, 2))
     def restart(self, writer):
--- a/tests/rules/test_repository.py
+++ b/tests/rules/test_repository.py
@@ -80,7 +80,7 @@
             await first.edit(change(f"e{number}", "add", name))
         held = (await first.read()).texts
         first.held = lambda: held
-        store.return_from_copy(lost)
+        store.restore_backup(lost)
         assert await first.edit(change("e2", "add", "c")) == repository.Stored(4)
         contents = await repository.Repository(store, "t/").read()
         assert {rule.name for rule in contents.rules.rules} == {"a", "b", "c"}
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -120,8 +120,8 @@
         for _ in range(rng.randint(1, 2)):
             world.store.fault = "silent"
             await asyncio.sleep(rng.uniform(0.05, 0.6))
-            world.store.cut_on_return = rng.random() < 0.8
-            lost = world.store.return_from_copy(rng.randint(0, 30))
+            world.store.cut_on_restore = rng.random() < 0.8
+            lost = world.store.restore_backup(rng.randint(0, 30))
             world.store.fault = None
             await asyncio.sleep(rng.uniform(0.0, 1.0))
             world.write_again(lost)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -105,7 +105,7 @@
         world.configure()
     await asyncio.sleep(IN_FORCE_S)
     for _ in range(world.rng.randint(1, 2)):
-        lost = world.store.return_from_copy(world.rng.randint(2, 8))
+        lost = world.store.restore_backup(world.rng.randint(2, 8))
         await asyncio.sleep(world.rng.uniform(0.0, 0.5))
         world.write_again(lost)
     await _all_in_force(world, callers)
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -55,7 +55,7 @@
             links = await self._replicas(stack)
             for number in range(self.instances_count):
                 links += self._instance(f"e-{number}", f"dc-{number % 2}", address[1])
-            self.store.edit = self._by_proxy
+            self.store.rewrite_value = self._by_proxy
             self.links = standin_proxy.Proxy("127.0.0.1", links)
             await self.links.start()
             stack.callback(self.links.close)
--- a/tests/standin_platform.py
+++ b/tests/standin_platform.py
@@ -53,13 +53,13 @@
         """Rises each time the store returns from a copy; told in every answer."""
         self.told_era = None
         """The value of the era's header, if another one than the era is told."""
-        self.cut_on_return = True
+        self.cut_on_restore = True
         """Whether questions that wait are cut when the store returns from a copy."""
         self.on_page = lambda: None
         """Called when a page of a reading is answered."""
         self.copies = collections.deque(maxlen=COPIES)
         """The state before each of the latest changes, the newest last."""
-        self.edit = lambda key, content: content
+        self.rewrite_value = lambda key, content: content
         """Changes what an instance writes: an address, so that others come by way of a proxy."""
         self._changed = asyncio.Event()
         self._numbers = itertools.count(FIRST_LEASE)
@@ -99,7 +99,7 @@
         """Return what the store holds now."""
         return Copy(self.revision, dict(self.items), dict(self.leases))
 
-    def return_from_copy(self, changes):
+    def restore_backup(self, changes):
         """
         Lose the latest changes, and give their revisions out again from now on.
 
@@ -192,7 +192,7 @@
         after, era = int(asked["after"]), self.era
         until = asyncio.get_running_loop().time() + int(asked["WaitMs"]) / 1000
         while True:
-            if self.era != era and not self.cut_on_return:
+            if self.era != era and not self.cut_on_restore:
                 await asyncio.sleep(60)
             if self.era != era:
                 return 503, {}
@@ -230,7 +230,7 @@
         for put in body["Puts"]:
             if put["Lease"] and put["Lease"] not in self.leases:
                 return 404, {}
-            content = self.edit(put["Key"], base64.b64decode(put["Value"]))
+            content = self.rewrite_value(put["Key"], base64.b64decode(put["Value"]))
             self.put(put["Key"], content, put["Lease"])
         return OK, {"Revision": self.revision}
 
