--- a/src/turmericlug/platform/__init__.py
+++ b/src/turmericlug/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the platform that instances run on: its names, its store, its settings."""
+"""Adapter to the platform that instances run on: wire names, key-value store and settings."""
--- a/src/turmericlug/platform/decode.py
+++ b/src/turmericlug/platform/decode.py
@@ -1,8 +1,9 @@
 """
-Values of the platform's keys, decoded once into the product's types.
+Decode the values of the platform's keys into this project's types.
 
-Others can write under the replicas' keys as well. What is not of the published form in every field
-names no replica: sent to, an address that somebody else made up is another one's.
+Other writers can write to the replicas' keys too. An entry with a field that deviates from the
+published format is rejected as a whole: its address may belong to a service other than the replica,
+and requests would be sent there.
 """
 
 from __future__ import annotations
@@ -22,125 +23,131 @@
 _IDEMPOTENT = "idempotent"
 _READY = "ready"
 _DRAINING = "draining"
-_NO_TIMEOUT_MS = 60_000.0
-_DEFAULT_ATTEMPTS = 1
-_REASON_LENGTH = 100
-"""Characters of an error that are kept: it may quote the value, which may be a megabyte."""
-_MOST_IGNORED = 5
-"""Fields of one value that are told to be ignored; a value may have thousands."""
-_MOST_PORT = 65535
+_DEFAULT_TIMEOUT_MS = 60_000.0
+_DEFAULT_MAX_ATTEMPTS = 1
+_MAX_REASON_LENGTH = 100
+"""Error messages are truncated to this length: they may quote the value, up to a megabyte."""
+_MAX_IGNORED_FIELDS = 5
+"""Ignored fields reported for one value; a value may have thousands of them."""
+_MAX_PORT = 65535
 
-Plain = dict[str, typing.Any]
+JsonObject = dict[str, typing.Any]
 
 
-def change(key: str, content: bytes | str, revision: int) -> news.Written | news.Unreadable | None:
+def decode_change(
+    key: str, content: bytes | str, revision: int
+) -> news.Written | news.Unreadable | None:
     """
-    Return what a key's new value says; ``None`` for keys that nothing here reads.
+    Decode a key's new value; return ``None`` for a key that this project does not use.
 
-    :param content: the value, or its base64 text as the store sends it
+    :param content: the value as bytes, or as the base64 text that the store sends
     """
-    plain = b""
+    data = b""
     ignored: list[str] = []
     try:
-        plain = binascii.a2b_base64(content, strict_mode=True) if _is_text(content) else content
-        found = value(key, plain, ignored)
+        data = (
+            binascii.a2b_base64(content, strict_mode=True) if _is_base64_text(content) else content
+        )
+        found = decode_value(key, data, ignored)
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
-        reason = f"{type(error).__name__}: {error}"[:_REASON_LENGTH]
-        return news.Unreadable(key, revision, reason, plain)
+        reason = f"{type(error).__name__}: {error}"[:_MAX_REASON_LENGTH]
+        return news.Unreadable(key, revision, reason, data)
     if found is None:
         return None
-    told = tuple(each[:_REASON_LENGTH] for each in ignored[:_MOST_IGNORED])
-    return news.Written(key, found, revision, plain, ignored=told)
+    reported = tuple(each[:_MAX_REASON_LENGTH] for each in ignored[:_MAX_IGNORED_FIELDS])
+    return news.Written(key, found, revision, data, ignored=reported)
 
 
-def _is_text(content: bytes | str) -> typing.TypeGuard[str]:
+def _is_base64_text(content: bytes | str) -> typing.TypeGuard[str]:
     return isinstance(content, str)
 
 
-def value(key: str, content: bytes, ignored: list[str]) -> news.Value | None:
+def decode_value(key: str, content: bytes, ignored: list[str]) -> news.Value | None:
     """
-    Return what a key's value says; ``None`` for keys that nothing here reads.
+    Decode a key's value; return ``None`` for a key that this project does not use.
 
-    :param ignored: gets the optional fields that can't be read
-    :raises ValueError, KeyError, TypeError: the value is not of the published form
+    :param ignored: receives the optional fields that are malformed
+    :raises ValueError, KeyError, TypeError: the value does not have the published format
     """
     if key == names.CONFIGURATION_KEY:
-        return configuration(json.loads(content), ignored)
+        return decode_configuration(json.loads(content), ignored)
     if key.startswith(names.EVACUATIONS_PREFIX):
-        # That the key is there says all: what its value holds does not matter.
+        # The key's existence alone marks the evacuation; its value is not read.
         return news.Evacuation(key.removeprefix(names.EVACUATIONS_PREFIX))
     if key.startswith(names.REPLICAS_PREFIX):
-        return _replica(key.removeprefix(names.REPLICAS_PREFIX), json.loads(content))
+        return _decode_replica(key.removeprefix(names.REPLICAS_PREFIX), json.loads(content))
     if key.startswith(names.INSTANCES_PREFIX):
-        return _instance(key.removeprefix(names.INSTANCES_PREFIX), json.loads(content))
+        return _decode_instance(key.removeprefix(names.INSTANCES_PREFIX), json.loads(content))
     return None
 
 
-def configuration(plain: Plain, ignored: list[str]) -> routes.Configuration:
+def decode_configuration(data: JsonObject, ignored: list[str]) -> routes.Configuration:
     """
     Decode the operator's configuration.
 
-    :param ignored: gets the optional fields that can't be read
+    :param ignored: receives the optional fields that are malformed
     """
     services = {
         item["Name"]: routes.Service(
             name=item["Name"],
             health_path=item.get("HealthPath", "/health"),
-            # Of one replica, from all callers together.
+            # Limit for one replica, over all callers.
             max_connections=item.get("MaxConns") or 16,
-            cold_rate_per_s=fields.optional(item, "WarmupPerS", fields.rate_per_s, 0.0, ignored),
+            cold_rate_per_s=fields.read_optional(
+                item, "WarmupPerS", fields.read_rate_per_s, 0.0, ignored
+            ),
         )
-        for item in plain["Services"]
+        for item in data["Services"]
     }
     return routes.Configuration(
-        version=plain["Version"],
-        routes=tuple(_route(item, ignored) for item in plain["Routes"]),
+        version=data["Version"],
+        routes=tuple(_decode_route(item, ignored) for item in data["Routes"]),
         services=services,
-        limits=_limits(plain.get("Limits") or {}),
-        key_regions=_key_regions(plain, ignored),
+        limits=_decode_limits(data.get("Limits") or {}),
+        key_regions=_decode_key_regions(data, ignored),
     )
 
 
-def _key_regions(plain: Plain, ignored: list[str]) -> dict[bytes, frozenset[str]]:
-    """Return the regions that organisations are bound to, by each of their keys."""
+def _decode_key_regions(data: JsonObject, ignored: list[str]) -> dict[bytes, frozenset[str]]:
+    """Map each API key to the regions that its organisation is restricted to."""
     found: dict[bytes, frozenset[str]] = {}
-    for item in fields.optional(plain, "Tenants", fields.tables, [], ignored):
-        regions = _regions(item, ignored)
+    for item in fields.read_optional(data, "Tenants", fields.read_objects, [], ignored):
+        regions = _decode_regions(item, ignored)
         if regions is not None:
-            keys = fields.optional(item, "ApiKeys", fields.keys, [], ignored)
+            keys = fields.read_optional(item, "ApiKeys", fields.read_api_keys, [], ignored)
             found |= dict.fromkeys(keys, regions)
     return found
 
 
-def _regions(item: Plain, ignored: list[str]) -> frozenset[str] | None:
-    """Return the regions that something is bound to; no region at all where they can't be read."""
+def _decode_regions(item: JsonObject, ignored: list[str]) -> frozenset[str] | None:
+    """Return the allowed regions; a malformed list allows no region, ``None`` allows all."""
     before = len(ignored)
-    found = fields.optional(item, "AllowedRegions", fields.regions, None, ignored)
+    found = fields.read_optional(item, "AllowedRegions", fields.read_regions, None, ignored)
     return found if len(ignored) == before else frozenset()
 
 
-def _route(item: Plain, ignored: list[str]) -> routes.Route:
-    timeout_ms = item.get("TimeoutMs") or _NO_TIMEOUT_MS
+def _decode_route(item: JsonObject, ignored: list[str]) -> routes.Route:
+    timeout_ms = item.get("TimeoutMs") or _DEFAULT_TIMEOUT_MS
     return routes.Route(
         name=item["Name"],
         host=item["Host"],
         prefix=item["Prefix"],
-        # Whatever is not said to be repeatable is taken not to be.
+        # Any other or missing route type is treated as not idempotent.
         idempotent=item.get("RouteType") == _IDEMPOTENT,
         timeout_ms=timeout_ms,
         goal_ms=item.get("GoalMs") or timeout_ms,
         priority=item.get("Priority") or 0,
-        # Replicas that one request may be sent to (of a query, for each shard), not repeats.
-        max_attempts=item.get("MaxAttempts") or _DEFAULT_ATTEMPTS,
-        services=_shares(item),
+        # Counts all replicas that a request may be sent to (of a query: per shard), not retries.
+        max_attempts=item.get("MaxAttempts") or _DEFAULT_MAX_ATTEMPTS,
+        services=_decode_services(item),
         shards=tuple(item.get("Gather") or ()),
         top_records=item.get("TopK") or 0,
         min_coverage=item.get("MinCoverage") or 0.0,
-        regions=_regions(item, ignored),
+        regions=_decode_regions(item, ignored),
     )
 
 
-def _shares(item: Plain) -> tuple[routes.Share, ...]:
+def _decode_services(item: JsonObject) -> tuple[routes.Share, ...]:
     if item.get("TrafficSplit"):
         return tuple(
             routes.Share(part["Service"], float(part["Weight"])) for part in item["TrafficSplit"]
@@ -148,7 +155,7 @@
     return (routes.Share(item["Service"], 1.0),) if item.get("Service") else ()
 
 
-def _limits(item: Plain) -> messages.Limits:
+def _decode_limits(item: JsonObject) -> messages.Limits:
     default = messages.Limits()
     header_ms, idle_ms = item.get("HeaderTimeoutMs"), item.get("IdleTimeoutMs")
     return messages.Limits(
@@ -159,80 +166,80 @@
     )
 
 
-def _replica(instance: str, item: Plain) -> routes.ReplicaEntry:
-    """Decode a replica's entry; every field has to be there and of its type."""
+def _decode_replica(instance: str, item: JsonObject) -> routes.ReplicaEntry:
+    """Decode a replica's entry; every field but ``born`` is required and type-checked."""
     if not (instance.isascii() and instance.isprintable()) or " " in instance or not instance:
-        # It is sent as a header: a line break in it would begin another one.
-        raise ValueError("the name of the instance can't be sent")
-    host, port = _address(item["Address"])
+        # The name is sent as a header value; a line break in it would start another header.
+        raise ValueError("instance name is empty or not printable ASCII without spaces")
+    host, port = _parse_address(item["Address"])
     state = item["State"]
     if state not in (_READY, _DRAINING):
-        raise ValueError("unknown state")
-    _text(item["Version"])
+        raise ValueError("state is neither ready nor draining")
+    _require_text(item["Version"])
     return routes.ReplicaEntry(
         instance=instance,
-        service=_text(item["Service"]),
+        service=_require_text(item["Service"]),
         host=host,
         port=port,
-        data_centre=_text(item["Zone"]),
-        slots=_whole(item["Slots"], least=1),
+        data_centre=_require_text(item["Zone"]),
+        slots=_require_integer(item["Slots"], minimum=1),
         draining=state == _DRAINING,
-        warmup_left_ms=_duration_ms(item["WarmupLeftMs"]),
-        born_ms=_whole(item["born"]) if "born" in item else None,
-        sequence=_whole(item["Sequence"]),
+        warmup_left_ms=_require_duration_ms(item["WarmupLeftMs"]),
+        born_ms=_require_integer(item["born"]) if "born" in item else None,
+        sequence=_require_integer(item["Sequence"]),
     )
 
 
-def _text(plain: typing.Any) -> str:
-    if not isinstance(plain, str) or not plain:
-        raise ValueError("not a text")
-    return plain
+def _require_text(data: typing.Any) -> str:
+    if not isinstance(data, str) or not data:
+        raise ValueError("not a non-empty string")
+    return data
 
 
-def _whole(plain: typing.Any, least: int = 0) -> int:
-    if not isinstance(plain, int) or isinstance(plain, bool) or plain < least:
-        raise ValueError("not a whole number")
-    return plain
+def _require_integer(data: typing.Any, minimum: int = 0) -> int:
+    if not isinstance(data, int) or isinstance(data, bool) or data < minimum:
+        raise ValueError("not an integer, or below the minimum")
+    return data
 
 
-def _duration_ms(plain: typing.Any) -> float:
-    if isinstance(plain, bool) or not isinstance(plain, int | float):
-        raise ValueError("not a duration")
-    if not (math.isfinite(plain) and plain >= 0):
-        raise ValueError("not a duration")
-    return plain
+def _require_duration_ms(data: typing.Any) -> float:
+    if isinstance(data, bool) or not isinstance(data, int | float):
+        raise ValueError("duration is not a number")
+    if not (math.isfinite(data) and data >= 0):
+        raise ValueError("duration is negative or not finite")
+    return data
 
 
-def _address(plain: typing.Any) -> tuple[str, int]:
-    host, _, port = _text(plain).rpartition(":")
+def _parse_address(data: typing.Any) -> tuple[str, int]:
+    host, _, port = _require_text(data).rpartition(":")
     try:
         socket.inet_pton(socket.AF_INET, host)
     except OSError:
-        raise ValueError("not an IP address") from None
-    if not (port.isascii() and port.isdigit()) or not 0 < int(port) <= _MOST_PORT:
-        raise ValueError("not a port")
+        raise ValueError("host is not an IPv4 address") from None
+    if not (port.isascii() and port.isdigit()) or not 0 < int(port) <= _MAX_PORT:
+        raise ValueError("port is not an integer from 1 to 65535")
     return host, int(port)
 
 
-def _instance(name: str, item: Plain) -> news.EntryInstance:
-    _address(item["address"])
+def _decode_instance(name: str, item: JsonObject) -> news.EntryInstance:
+    _parse_address(item["address"])
     if item["peers_address"] != "":
-        _address(item["peers_address"])
+        _parse_address(item["peers_address"])
     return news.EntryInstance(
         name,
         item["address"],
-        _text(item["data_centre"]),
-        _text(item["region"]),
+        _require_text(item["data_centre"]),
+        _require_text(item["region"]),
         item["peers_address"],
     )
 
 
-def instance_value(instance: news.EntryInstance) -> bytes:
-    """Encode an entry instance's own key, in this project's names."""
-    plain = {
+def encode_instance(instance: news.EntryInstance) -> bytes:
+    """Encode the value of an entry instance's own key, with this project's field names."""
+    data = {
         "address": instance.address,
         "data_centre": instance.data_centre,
         "region": instance.region,
         "peers_address": instance.peers_address,
     }
-    return json.dumps(plain).encode()
+    return json.dumps(data).encode()
--- a/src/turmericlug/platform/fields.py
+++ b/src/turmericlug/platform/fields.py
@@ -1,4 +1,4 @@
-"""Optional fields of the platform's values: each is read strictly, or counts as absent."""
+"""Optional fields of the platform's values: a malformed field is treated as absent."""
 
 from __future__ import annotations
 
@@ -6,113 +6,113 @@
 import typing
 from collections import abc
 
-MOST_REGIONS = 64
-"""Regions that one route or organisation may be bound to."""
-MOST_RATE_PER_S = 1e6
-"""Requests a second beyond which a rate is no limit of a replica."""
-MOST_LOAD = 1_000_000
-"""Requests or slots of one replica beyond which its told load is not believed."""
-MOST_SLOWDOWN_PERCENT = 100_000
-LOAD_FIGURES = (3, 4)
-"""How many figures a told load may have: without and with the state of the machine."""
+MAX_REGIONS = 64
+"""Regions that one route or organisation may be restricted to."""
+MAX_RATE_PER_S = 1e6
+"""Requests per second; a higher rate is no plausible limit of a replica."""
+MAX_LOAD = 1_000_000
+"""Requests or slots of one replica; a load report with a higher figure is ignored."""
+MAX_SLOWDOWN_PERCENT = 100_000
+LOAD_FIGURE_COUNTS = (3, 4)
+"""Figures that a load report may have: without and with the slowdown of the machine."""
 
 
 class FieldError(ValueError):
-    """A field does not have the published form; says which form that is."""
+    """A field does not have the published format; the message says how."""
 
 
 T = typing.TypeVar("T")
 
 
-def optional(
+def read_optional(
     item: abc.Mapping[str, typing.Any],
     name: str,
     read: abc.Callable[[typing.Any], T],
-    absent: T,
+    default: T,
     ignored: list[str],
 ) -> T:
     """
-    Read a field, or return what it is worth when absent.
+    Read a field, or return its default when it is absent or malformed.
 
-    :param ignored: gets the name of a field that is there and can't be read
+    :param ignored: receives the name of a malformed field, with the error
     """
-    plain = item.get(name)
-    if plain is None:
-        return absent
+    data = item.get(name)
+    if data is None:
+        return default
     try:
-        return read(plain)
+        return read(data)
     except FieldError as error:
         ignored.append(f"{name}: {error}")
-        return absent
+        return default
 
 
-def regions(plain: typing.Any) -> frozenset[str] | None:
+def read_regions(data: typing.Any) -> frozenset[str] | None:
     """
-    Read a list of regions; an empty one allows all.
+    Read a list of regions; an empty list allows all regions and gives ``None``.
 
-    Names that can't be read are left out and never widen the list.
+    Malformed names are dropped. If no name is left, no region is allowed, rather than all.
 
-    :raises FieldError: it is no list, or a longer one than ``MOST_REGIONS``
+    :raises FieldError: not a list, or longer than ``MAX_REGIONS``
     """
-    if not isinstance(plain, list) or len(plain) > MOST_REGIONS:
-        raise FieldError(f"not a list of {MOST_REGIONS} regions at most")
-    return frozenset(each for each in plain if isinstance(each, str) and each) if plain else None
+    if not isinstance(data, list) or len(data) > MAX_REGIONS:
+        raise FieldError(f"not a list of {MAX_REGIONS} regions at most")
+    return frozenset(each for each in data if isinstance(each, str) and each) if data else None
 
 
-def tables(plain: typing.Any) -> list[dict[str, typing.Any]]:
+def read_objects(data: typing.Any) -> list[dict[str, typing.Any]]:
     """
-    Read a list of tables.
+    Read a list of JSON objects.
 
-    :raises FieldError: it is no list, or one of its entries is no table
+    :raises FieldError: not a list, or an entry is not an object
     """
-    if not isinstance(plain, list) or not all(isinstance(each, dict) for each in plain):
-        raise FieldError("not a list of tables")
-    return plain
+    if not isinstance(data, list) or not all(isinstance(each, dict) for each in data):
+        raise FieldError("not a list of objects")
+    return data
 
 
-def keys(plain: typing.Any) -> list[bytes]:
+def read_api_keys(data: typing.Any) -> list[bytes]:
     """
-    Read a list of keys that callers show.
+    Read a list of the API keys that callers send.
 
-    :raises FieldError: it is no list, or one of its entries is no text
+    :raises FieldError: not a list, or an entry is not a string
     """
-    if not isinstance(plain, list) or not all(isinstance(each, str) for each in plain):
-        raise FieldError("not a list of texts")
-    return [each.encode() for each in plain]
+    if not isinstance(data, list) or not all(isinstance(each, str) for each in data):
+        raise FieldError("not a list of strings")
+    return [each.encode() for each in data]
 
 
-def rate_per_s(plain: typing.Any) -> float:
+def read_rate_per_s(data: typing.Any) -> float:
     """
-    Read requests a second.
+    Read a rate in requests per second.
 
-    :raises FieldError: not a number from 0 to ``MOST_RATE_PER_S``
+    :raises FieldError: not a number from 0 to ``MAX_RATE_PER_S``
     """
-    if isinstance(plain, bool) or not isinstance(plain, int | float):
+    if isinstance(data, bool) or not isinstance(data, int | float):
         raise FieldError("not a number")
-    if not (math.isfinite(plain) and 0 <= plain <= MOST_RATE_PER_S):
-        raise FieldError(f"not from 0 to {MOST_RATE_PER_S:.0f}")
-    return float(plain)
+    if not (math.isfinite(data) and 0 <= data <= MAX_RATE_PER_S):
+        raise FieldError(f"not from 0 to {MAX_RATE_PER_S:.0f}")
+    return float(data)
 
 
-def load_figures(plain: bytes) -> tuple[int, ...]:
+def read_load_figures(data: bytes) -> tuple[int, ...]:
     """
-    Read the figures of a told load: running, waiting, slots, and the machine's slow-down in %.
+    Read a load report: running requests, waiting requests, slots and the machine's slowdown in %.
 
-    :raises FieldError: too few or too many figures, or one out of its bounds
+    :raises FieldError: wrong number of figures, or a figure out of bounds
     """
-    parts = plain.split(b",")
-    if len(parts) not in LOAD_FIGURES:
-        raise FieldError(f"{len(parts)} figures instead of {LOAD_FIGURES}")
-    figures = tuple(_whole(part.strip()) for part in parts)
-    bounds = (MOST_LOAD, MOST_LOAD, MOST_LOAD, MOST_SLOWDOWN_PERCENT)
-    if any(figure > most for figure, most in zip(figures, bounds, strict=False)):
-        raise FieldError("a figure is too large")
+    parts = data.split(b",")
+    if len(parts) not in LOAD_FIGURE_COUNTS:
+        raise FieldError(f"{len(parts)} figures; expected one of {LOAD_FIGURE_COUNTS}")
+    figures = tuple(_read_integer(part.strip()) for part in parts)
+    bounds = (MAX_LOAD, MAX_LOAD, MAX_LOAD, MAX_SLOWDOWN_PERCENT)
+    if any(figure > maximum for figure, maximum in zip(figures, bounds, strict=False)):
+        raise FieldError("a figure exceeds its limit")
     if not figures[2] or not all(figures[3:]):
-        raise FieldError("no slots, or a machine that does no work")
+        raise FieldError("slots or slowdown is 0")
     return figures
 
 
-def _whole(part: bytes) -> int:
-    if not (part.isdigit() and len(part) <= len(str(MOST_LOAD))):
-        raise FieldError("a figure is not a whole number")
+def _read_integer(part: bytes) -> int:
+    if not (part.isdigit() and len(part) <= len(str(MAX_LOAD))):
+        raise FieldError("a figure is not an integer, or has too many digits")
     return int(part)
--- a/src/turmericlug/platform/interfaces.py
+++ b/src/turmericlug/platform/interfaces.py
@@ -1,4 +1,4 @@
-"""The platform's two questions to an instance: where callers may connect, and is it ready."""
+"""HTTP handlers for the platform: addresses that callers may connect to, and readiness."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 def resolve_handler(directory: directory_module.Directory) -> messages.Handler:
-    """Return the handler of the question which addresses a caller may use."""
+    """Return the handler of requests for the addresses that a caller may connect to."""
 
     async def handle(request: messages.Request) -> messages.Answer:
         path, _, query = request.target.partition(b"?")
         if path != names.RESOLVE_PATH:
             return messages.Answer(404)
-        asked = urllib.parse.parse_qs(query.decode("latin-1"))
-        region, data_centre, host = ((asked.get(key) or [""])[0] for key in _RESOLVE_KEYS)
+        parameters = urllib.parse.parse_qs(query.decode("latin-1"))
+        region, data_centre, host = ((parameters.get(key) or [""])[0] for key in _RESOLVE_KEYS)
         addresses = directory.addresses(region, data_centre, host)
         if not addresses:
             return messages.Answer(503)
@@ -32,7 +32,7 @@
 
 
 def ready_handler(ready: abc.Callable[[], bool]) -> messages.Handler:
-    """Return the handler of the question whether this instance may get callers."""
+    """Return the handler of the readiness check: whether this instance may receive callers."""
 
     async def handle(request: messages.Request) -> messages.Answer:
         if request.target.partition(b"?")[0] != names.READY_PATH:
--- a/src/turmericlug/platform/names.py
+++ b/src/turmericlug/platform/names.py
@@ -1,4 +1,4 @@
-"""The platform's names on the wire: headers, paths, keys. Nothing outside this package has them."""
+"""The platform's wire names: headers, paths, keys. They are used only within this package."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 _PERCENT = 100
 
 
-def read_load(told: bytes) -> load.Load | None:
-    """Read the load that a replica tells; ``None`` where it can't be read."""
+def read_load(header_value: bytes) -> load.Load | None:
+    """Parse the load reported by a replica; return ``None`` if it is malformed."""
     try:
-        running, waiting, slots, *slowdown_percent = fields.load_figures(told)
+        running, waiting, slots, *slowdown_percent = fields.read_load_figures(header_value)
     except fields.FieldError:
         return None
     slowdown = slowdown_percent[0] / _PERCENT if slowdown_percent else 1.0
--- a/src/turmericlug/platform/start.py
+++ b/src/turmericlug/platform/start.py
@@ -1,4 +1,4 @@
-"""Start of an entry instance on the platform: settings file, store, interfaces, names."""
+"""Start an entry instance on the platform: settings file, store, HTTP handlers, wire names."""
 
 from __future__ import annotations
 
@@ -22,24 +22,26 @@
 EXIT_SETTINGS = 2
 
 
-def _source(settings: settings_module.Source, counters: counters_module.Counters) -> store.Store:
+def _make_source(
+    settings: settings_module.Source, counters: counters_module.Counters
+) -> store.Store:
     return store.Store(*settings.address, counters)
 
 
 ADAPTER = daemon.Adapter(
     names=names.HEADERS,
-    source=_source,
+    source=_make_source,
     resolve_handler=interfaces.resolve_handler,
-    decode=decode.change,
+    decode=decode.decode_change,
     ready_handler=interfaces.ready_handler,
 )
 
 
 def run(early_listener: socket.socket | None = None) -> None:
     """
-    Run an entry instance with the settings file that the platform names.
+    Run an entry instance with the settings file that ``SETTINGS_VARIABLE`` names.
 
-    :param early_listener: listens for callers already
+    :param early_listener: socket that is already listening for callers
     """
     path = pathlib.Path(os.environ.get(SETTINGS_VARIABLE, "entry.ini"))
     try:
--- a/src/turmericlug/platform/store.py
+++ b/src/turmericlug/platform/store.py
@@ -1,9 +1,9 @@
 """
-The one client of the platform's store: its calls, and its items as the product's news.
+Client of the platform's key-value store: its calls, and its items decoded as changes.
 
-Two connections: questions for changes wait on one, everything else goes over the other. The store
-answers nothing further on a connection on which an answer was lost, so that a call without an
-answer ends its connection.
+The client keeps two connections: one for watches, which wait for changes, and one for all other
+calls. After a lost response the store sends no further responses on that connection, so a call
+without a response closes its connection.
 """
 
 from __future__ import annotations
@@ -25,77 +25,78 @@
 from turmericlug.telemetry import decisions
 
 CALL_TIMEOUT_S = 1.2
-"""Three hundred times the usual answer of 4 ms: a slow store (240 ms were seen) still answers."""
-WATCH_SLACK_S = 0.8
+"""300 times the usual response time of 4 ms; a slow store (240 ms were seen) stays within it."""
+WATCH_TIMEOUT_SLACK_S = 0.8
 _CONNECT_TIMEOUT_S = 0.6
-MOST_KEYS = 32
-"""Keys that the store takes in one call."""
-_REASONS = {429: "rate", 503: "busy"}
+MAX_KEYS_PER_CALL = 32
+"""Keys that the store accepts in one call."""
+_STATUS_REASONS = {429: "rate", 503: "busy"}
 _ERA_HEADER = b"store-era"
-_ERA_DIGITS = 18
-"""Fits into the 64 bits with which instances tell each other."""
+_MAX_ERA_DIGITS = 18
+"""An era of this length fits into the 64-bit field of the protocol between instances."""
 
 
-class _ChangedError(Exception):
-    """A key has another revision than the call expected."""
+class _RevisionMismatchError(Exception):
+    """A key has another revision than the transaction expects."""
 
 
 @attrs.define
-class _Lane:
-    """One kept connection, used by one call at a time."""
+class _Channel:
+    """A persistent connection, used by one call at a time."""
 
     connection: client.Connection | None = None
     lock: asyncio.Lock = attrs.field(factory=asyncio.Lock)
     failed: bool = False
-    """Whether the last call got no usable answer."""
+    """Whether the last call got no usable response."""
 
     @property
-    def was_lost(self) -> bool:
-        """Whether the other side may have been away since the last call."""
+    def interrupted(self) -> bool:
+        """Whether the store may have been unreachable since the last call."""
         return self.failed or (self.connection is not None and self.connection.closed)
 
 
 @attrs.frozen
 class _Answer:
-    """What a call was answered, and the era that the answer is of."""
+    """The response to a call, and the store's era that it belongs to."""
 
     era: int
     body: typing.Any
 
 
 class Store:
-    """Implements ``news.Source`` on the platform's store."""
+    """Implements ``news.Source`` with the platform's store."""
 
     def __init__(self, host: str, port: int, counters: counters_module.Counters) -> None:
         self._host = host
         self._port = port
         self._counters = counters
-        self._calls = _Lane()
-        self._watch = _Lane()
+        self._call_channel = _Channel()
+        self._watch_channel = _Channel()
         self.era = 0
-        """The latest that an answer was of; 0: none told one."""
+        """The latest era of any response; 0 if none stated one."""
 
     async def read_all(self, may_be_stale: bool) -> news.Snapshot:
         """
-        Read every key, page by page; changes since the oldest page are followed from there.
+        Read all keys, page by page; the snapshot's revision is that of its oldest page.
 
-        Stale pages lag by different times, so that any of them may be the oldest. Of a store that
-        has returned from a copy they may show what it lost: then what operators wrote is read anew.
+        Stale pages lag by different amounts, so any of them can be the oldest. After the store was
+        restored from a backup, stale pages may still show writes that were lost. So the operators'
+        keys are read again without staleness, and everything is if those are at an older position.
 
-        :raises SourceError: no answer
+        :raises SourceError: no usable response
         """
-        snapshot = await self._read("", may_be_stale)
+        snapshot = await self._read_pages("", may_be_stale)
         if not (may_be_stale and snapshot.era):
             return snapshot
-        operators = await self._read(names.OPERATORS_PREFIX, may_be_stale=False)
+        operators = await self._read_pages(names.OPERATORS_PREFIX, may_be_stale=False)
         if operators.position < snapshot.position:
-            return await self._read("", may_be_stale=False)
+            return await self._read_pages("", may_be_stale=False)
         others = [
             each for each in snapshot.written if not each.key.startswith(names.OPERATORS_PREFIX)
         ]
         return attrs.evolve(snapshot, written=(*others, *operators.written))
 
-    async def _read(self, prefix: str, may_be_stale: bool) -> news.Snapshot:
+    async def _read_pages(self, prefix: str, may_be_stale: bool) -> news.Snapshot:
         written: list[news.Written | news.Unreadable] = []
         positions: set[news.Position] = set()
         query = {"Prefix": prefix} | ({"Serializable": "1"} if may_be_stale else {})
@@ -107,7 +108,7 @@
                 raise news.SourceError("returned_from_copy")
             for item in page["items"]:
                 query["after"] = item["Key"]
-                change = _written(item, answer.era)
+                change = _decode_item(item, answer.era)
                 if change is not None:
                     written.append(change)
             if not page.get("HasMore"):
@@ -117,21 +118,24 @@
         """
         Wait for changes.
 
-        :raises HistoryLostError: the changes since then are not known any more, or the store has
-            returned from a copy, whose revisions stand for other changes
-        :raises SourceError: no answer
+        :raises HistoryLostError: the store no longer has the changes since then, or it was restored
+            from a backup, after which the same revisions denote other changes
+        :raises SourceError: no usable response
         """
         if after.era < self.era:
             raise news.HistoryLostError
-        if self._watch.was_lost:
-            # The store may have been away. Its era comes with the answer, which is not waited for.
+        if self._watch_channel.interrupted:
+            # The store may have been restored meanwhile. Only a response states its era, so the
+            # watch returns at once instead of waiting for a change.
             wait_s = 0.0
         query = {"Prefix": "", "after": str(after.revision), "WaitMs": str(int(wait_s * 1000))}
         try:
-            answer = await self._get("kv-watch", query, self._watch, wait_s + WATCH_SLACK_S)
-            self._watch.failed = False
+            answer = await self._get(
+                "kv-watch", query, self._watch_channel, wait_s + WATCH_TIMEOUT_SLACK_S
+            )
+            self._watch_channel.failed = False
         except news.SourceError:
-            self._watch.failed = True
+            self._watch_channel.failed = True
             if self.era != after.era:
                 raise news.HistoryLostError from None
             raise
@@ -142,7 +146,7 @@
             if event.get("Tombstone"):
                 changes.append(news.Removed(event["Key"], event["Revision"], answer.era))
                 continue
-            change = _written(event, answer.era)
+            change = _decode_item(event, answer.era)
             if change is not None:
                 changes.append(change)
         return news.Changes(tuple(changes), answer.body["AsOf"], era=answer.era)
@@ -156,7 +160,7 @@
         """
         Renew a lease.
 
-        :raises LeaseEndedError: it has ended
+        :raises LeaseEndedError: the lease has ended
         """
         await self._call(b"POST", f"kv-keep/{lease}", {})
 
@@ -166,11 +170,11 @@
 
     async def register(self, instance: news.EntryInstance, lease: int) -> None:
         """
-        Write an instance's entry under its lease.
+        Write an instance's entry, attached to its lease.
 
         :raises LeaseEndedError: the lease has ended
         """
-        value = base64.b64encode(decode.instance_value(instance)).decode()
+        value = base64.b64encode(decode.encode_instance(instance)).decode()
         put = {"Key": names.INSTANCES_PREFIX + instance.name, "Value": value, "Lease": lease}
         await self._call(b"POST", "kv-txn", {"ExpectedRev": [], "Puts": [put], "Remove": []})
 
@@ -178,10 +182,10 @@
         """
         Remove keys, all or none.
 
-        :returns: false when one of them has been written since
-        :raises SourceError: no answer, or too many keys for one call
+        :returns: false if one of them has been written since
+        :raises SourceError: no usable response, or more than ``MAX_KEYS_PER_CALL`` keys
         """
-        if len(written) > MOST_KEYS:
+        if len(written) > MAX_KEYS_PER_CALL:
             raise news.SourceError("too_many_keys")
         body = {
             "ExpectedRev": [{"Key": each.key, "Revision": each.revision} for each in written],
@@ -190,7 +194,7 @@
         }
         try:
             await self._call(b"POST", "kv-txn", body)
-        except _ChangedError:
+        except _RevisionMismatchError:
             return False
         return True
 
@@ -198,46 +202,48 @@
         self,
         path: str,
         query: dict[str, str],
-        lane: _Lane | None = None,
+        channel: _Channel | None = None,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> _Answer:
         target = f"{path}?{urllib.parse.urlencode(query)}"
-        return await self._call(b"GET", target, None, lane, timeout_s)
+        return await self._call(b"GET", target, None, channel, timeout_s)
 
     async def _call(
         self,
         method: bytes,
         path: str,
         body: typing.Any,
-        lane: _Lane | None = None,
+        channel: _Channel | None = None,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> _Answer:
-        lane = lane or self._calls
+        channel = channel or self._call_channel
         operation = path.partition("?")[0].partition("/")[0]
         self._counters.add(f"source.call.{operation}")
-        async with lane.lock:
-            response = await self._exchange(lane, method, path, body, timeout_s)
-        era = self._era_of(response)
+        async with channel.lock:
+            response = await self._exchange(channel, method, path, body, timeout_s)
+        era = self._update_era(response)
         if response.status == 200:
-            return _Answer(era, _parsed(response.body))
+            return _Answer(era, _parse_json(response.body))
         if response.status == 410:
             raise news.HistoryLostError
         if response.status == 404:
             raise news.LeaseEndedError
         if response.status == 412:
-            raise _ChangedError
-        raise news.SourceError(_REASONS.get(response.status, f"status_{response.status}"))
+            raise _RevisionMismatchError
+        raise news.SourceError(_STATUS_REASONS.get(response.status, f"status_{response.status}"))
 
-    def _era_of(self, response: client.Response) -> int:
+    def _update_era(self, response: client.Response) -> int:
         """
-        Return the era that an answer is of: the latest known one where it tells none.
+        Return a response's era, or the latest known era if the response states none.
+
+        A later era than the known one is recorded.
 
-        :raises SourceError: the answer was given before the store returned from a copy
+        :raises SourceError: the response is from before the store was restored from a backup
         """
-        told = response.header(_ERA_HEADER) or b""
-        if not (told.isdigit() and len(told) <= _ERA_DIGITS):
+        header_value = response.header(_ERA_HEADER) or b""
+        if not (header_value.isdigit() and len(header_value) <= _MAX_ERA_DIGITS):
             return self.era
-        era = int(told)
+        era = int(header_value)
         if era < self.era:
             raise news.SourceError("older_era")
         if era > self.era:
@@ -245,12 +251,12 @@
                 self._counters.add("source.returned_from_copy")
                 decisions.log("source.returned_from_copy", era=era, before=self.era)
             self.era = era
-            # A question that still waits there asks for changes after a revision of another era.
-            self._drop(self._watch)
+            # A watch that is still open there waits for changes after a revision of another era.
+            self._close_channel(self._watch_channel)
         return era
 
     async def _exchange(
-        self, lane: _Lane, method: bytes, path: str, body: typing.Any, timeout_s: float
+        self, channel: _Channel, method: bytes, path: str, body: typing.Any, timeout_s: float
     ) -> client.Response:
         content = b"" if body is None else json.dumps(body).encode()
         headers = [(b"host", f"{self._host}:{self._port}".encode())]
@@ -259,39 +265,39 @@
         request = client.request_bytes(method, b"/turmericlug/" + path.encode(), headers, content)
         try:
             async with asyncio.timeout(timeout_s):
-                if lane.connection is None or lane.connection.closed:
-                    lane.connection = await client.connect(
+                if channel.connection is None or channel.connection.closed:
+                    channel.connection = await client.connect(
                         self._host, self._port, _CONNECT_TIMEOUT_S
                     )
-                return await lane.connection.exchange(request)
+                return await channel.connection.exchange(request)
         except TimeoutError:
-            self._drop(lane)
+            self._close_channel(channel)
             raise news.SourceError("timeout") from None
         except client.ConnectError:
             raise news.SourceError("unreachable") from None
         except client.ExchangeError:
-            self._drop(lane)
+            self._close_channel(channel)
             raise news.SourceError("cut") from None
 
-    def _drop(self, lane: _Lane) -> None:
-        if lane.connection is not None:
-            lane.connection.close()
-            lane.connection = None
+    def _close_channel(self, channel: _Channel) -> None:
+        if channel.connection is not None:
+            channel.connection.close()
+            channel.connection = None
 
     def close(self) -> None:
         """Close both connections."""
-        self._drop(self._calls)
-        self._drop(self._watch)
+        self._close_channel(self._call_channel)
+        self._close_channel(self._watch_channel)
 
 
-def _written(item: dict[str, typing.Any], era: int) -> news.Written | news.Unreadable | None:
-    change = decode.change(item["Key"], item["Value"], item["Revision"])
+def _decode_item(item: dict[str, typing.Any], era: int) -> news.Written | news.Unreadable | None:
+    change = decode.decode_change(item["Key"], item["Value"], item["Revision"])
     if isinstance(change, news.Written):
         return attrs.evolve(change, lease=item.get("Lease") or 0, era=era)
     return change and attrs.evolve(change, era=era)
 
 
-def _parsed(body: bytes) -> typing.Any:
+def _parse_json(body: bytes) -> typing.Any:
     try:
         return json.loads(body) if body else {}
     except ValueError:
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -188,11 +188,11 @@
         "direct/test_handover.py::test_an_instance_that_does_not_know_the_replicas_yet",
     ),
     mutant.one(
-        "followed-from-the-newest-page",
+        "snapshot-revision-of-the-newest-page",
         "platform/store.py",
         "min(positions).revision",
         "max(positions).revision",
-        "platform/test_store.py::test_a_stale_reading_is_followed_from_its_oldest_page",
+        "platform/test_store.py::test_stale_read_has_the_revision_of_its_oldest_page",
     ),
     mutant.one(
         "old-removals-count",
@@ -265,34 +265,33 @@
         "entry/test_view.py::test_what_is_written_after_a_return_from_a_copy_counts",
     ),
     mutant.one(
-        "changes-followed-over-a-return",
+        "changes-continue-over-a-restore",
         "platform/store.py",
         "        if answer.era != after.era:\n            raise news.HistoryLostError\n",
         "",
-        "platform/test_store.py::test_changes_are_not_followed_over_a_return_from_a_copy",
+        "platform/test_store.py::test_changes_do_not_continue_over_a_restore",
     ),
     mutant.one(
-        "question-of-a-known-past",
+        "watch-from-a-known-older-era",
         "platform/store.py",
         "        if after.era < self.era:\n            raise news.HistoryLostError\n",
         "",
         "platform/test_store.py"
-        "::test_changes_are_not_followed_over_a_return_from_a_copy[_known]",
+        "::test_changes_do_not_continue_over_a_restore[_after_known_restore]",
     ),
     mutant.one(
-        "long-question-after-an-outage",
+        "long-watch-after-an-outage",
         "platform/store.py",
-        "        if self._watch.was_lost:",
-        "        if not self._watch:",
-        "platform/test_store.py"
-        "::test_changes_are_not_followed_over_a_return_from_a_copy[_reconnected]",
+        "        if self._watch_channel.interrupted:",
+        "        if not self._watch_channel:",
+        "platform/test_store.py" "::test_changes_do_not_continue_over_a_restore[_after_reconnect]",
     ),
     mutant.one(
-        "silent-question-after-a-return",
+        "pending-watch-kept-after-a-restore",
         "platform/store.py",
-        "            self._drop(self._watch)\n        return era",
+        "            self._close_channel(self._watch_channel)\n        return era",
         "        return era",
-        "platform/test_store.py::test_changes_are_not_followed_over_a_return_from_a_copy",
+        "platform/test_store.py::test_changes_do_not_continue_over_a_restore",
     ),
     mutant.one(
         "journal-answers-for-any-era",
@@ -326,12 +325,12 @@
         "::test_an_entry_that_was_taken_out_stays_out_when_the_store_has_returned[leaving]",
     ),
     mutant.one(
-        "stale-reading-trusted-after-a-return",
+        "stale-read-trusted-after-a-restore",
         "platform/store.py",
         "        if not (may_be_stale and snapshot.era):",
         "        if snapshot:",
         "platform/test_store.py"
-        "::test_a_stale_reading_from_before_a_return_does_not_hide_what_operators_wrote",
+        "::test_stale_read_from_before_a_restore_does_not_hide_operators_writes",
     ),
     mutant.one(
         "older-word-of-a-replica",
@@ -614,7 +613,7 @@
         "platform/decode.py",
         "    return found if len(ignored) == before else frozenset()",
         "    return found",
-        "platform/test_fields.py::test_regions_of_a_route_never_widen",
+        "platform/test_fields.py::test_malformed_region_list_allows_no_region",
     ),
     mutant.one(
         "tell-instances-of-any-region",
--- a/tests/platform/test_fields.py
+++ b/tests/platform/test_fields.py
@@ -1,4 +1,4 @@
-"""Optional fields: read strictly, or ignored."""
+"""Tests of optional fields: a malformed field is treated as absent."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from turmericlug.platform import fields
 from turmericlug.platform import names
 
-DAMAGED = [None, -1, 2.5, True, "x", {}, [], {"a": []}, [["r"]], 1e300, float("nan"), "9" * 400]
-anything = strategies.recursive(
+MALFORMED = [None, -1, 2.5, True, "x", {}, [], {"a": []}, [["r"]], 1e300, float("nan"), "9" * 400]
+json_values = strategies.recursive(
     strategies.none() | strategies.booleans() | strategies.floats() | strategies.text(max_size=5),
     lambda inner: strategies.lists(inner, max_size=3)
     | strategies.dictionaries(strategies.text(max_size=3), inner, max_size=3),
 )
 
 
-def configured(route=None, service=None, **changes):
-    plain = standin_platform.configuration(
+def decode_with(route=None, service=None, **changes):
+    data = standin_platform.configuration(
         1, [standin_platform.route("r", "/r/", Service="s", **(route or {}))], ["s"]
     )
-    plain["Services"][0] |= service or {}
-    found = decode.change("op/config", json.dumps(plain | changes).encode(), 1)
+    data["Services"][0] |= service or {}
+    found = decode.decode_change("op/config", json.dumps(data | changes).encode(), 1)
     assert isinstance(found, news.Written), found
     return found
 
 
 @pytest.mark.parametrize(
-    ("told", "regions", "ignored"),
+    ("value", "regions", "ignored"),
     [
         (None, None, 0),
         ([], None, 0),
@@ -49,38 +49,38 @@
     ],
     ids=str,
 )
-def test_regions_of_a_route_never_widen(told, regions, ignored):
-    """A list that can't be read leaves no region, instead of letting requests leave theirs."""
-    found = configured(route={"AllowedRegions": told})
+def test_malformed_region_list_allows_no_region(value, regions, ignored):
+    """Guards against requests that leave their allowed regions because the list is malformed."""
+    found = decode_with(route={"AllowedRegions": value})
     assert found.value.routes[0].regions == regions
     assert found.value.routes[0].goal_ms == 200
     assert len(found.ignored) == ignored
 
 
-@pytest.mark.parametrize("told", DAMAGED, ids=str)
-def test_a_rate_that_can_not_be_read_counts_as_absent(told):
-    found = configured(service={"WarmupPerS": told}).value
+@pytest.mark.parametrize("value", MALFORMED, ids=str)
+def test_malformed_rate_is_treated_as_absent(value):
+    found = decode_with(service={"WarmupPerS": value}).value
     assert found.services["s"].cold_rate_per_s in (0.0, 2.5)
     assert found.services["s"].max_connections == 26
 
 
-def test_many_damaged_fields_are_told_in_a_few_words():
-    plain = standin_platform.configuration(1, [], [f"s{number}" for number in range(50)])
-    for item in plain["Services"]:
+def test_report_of_ignored_fields_is_limited():
+    data = standin_platform.configuration(1, [], [f"s{number}" for number in range(50)])
+    for item in data["Services"]:
         item["WarmupPerS"] = "x" * 1000
-    found = decode.change("op/config", json.dumps(plain).encode(), 1)
+    found = decode.decode_change("op/config", json.dumps(data).encode(), 1)
     assert len(found.value.services) == 50
     assert 1 <= len(found.ignored) <= 5
     assert max(map(len, found.ignored)) <= 100
 
 
-def test_organisations_are_bound_by_their_keys():
+def test_organisations_are_restricted_by_api_key():
     organisations = [
         {"Name": "o", "ApiKeys": ["k1", "k2"], "AllowedRegions": ["a"]},
         {"Name": "p", "ApiKeys": ["k3"], "AllowedRegions": []},
         {"Name": "q", "ApiKeys": ["k4"], "AllowedRegions": "a"},
     ]
-    found = configured(Tenants=organisations).value
+    found = decode_with(Tenants=organisations).value
     assert found.key_regions == {b"k1": {"a"}, b"k2": {"a"}, b"k4": set()}
 
 
@@ -96,16 +96,19 @@
     ],
     ids=str,
 )
-def test_organisations_that_can_not_be_read_leave_the_rest_of_the_configuration(organisations):
-    """One damaged key made the whole configuration unreadable: the older one stayed in force."""
-    found = configured(Tenants=organisations)
+def test_malformed_organisations_leave_the_rest_of_the_configuration(organisations):
+    """
+    Guards against a malformed API key that makes the whole configuration unreadable, so that the
+    older configuration stays in force.
+    """
+    found = decode_with(Tenants=organisations)
     assert found.value.routes[0].name == "r"
     assert found.value.key_regions == {}
     assert len(found.ignored) == 1
 
 
 @pytest.mark.parametrize(
-    ("told", "expected"),
+    ("value", "expected"),
     [
         (b"3,0,8", load.Load(3, 0, 8, 1.0)),
         (b"3, 1, 8, 250", load.Load(3, 1, 8, 2.5)),
@@ -124,36 +127,38 @@
         ("1,0,²".encode(), None),
     ],
 )
-def test_told_load(told, expected):
-    assert names.read_load(told) == expected
+def test_reads_load_report(value, expected):
+    assert names.read_load(value) == expected
 
 
 @hypothesis.given(strategies.binary(max_size=40))
-def test_any_told_load_is_read_or_ignored(told):
-    found = names.read_load(told)
+def test_any_load_report_is_valid_or_ignored(value):
+    found = names.read_load(value)
     assert found is None or (found.slots > 0 and found.slowdown > 0)
 
 
-@hypothesis.given(anything, anything, anything)
-def test_any_optional_field_leaves_the_rest_of_the_configuration(regions, rate, organisations):
+@hypothesis.given(json_values, json_values, json_values)
+def test_malformed_optional_fields_leave_the_rest_of_the_configuration(
+    regions, rate, organisations
+):
     route = {"AllowedRegions": regions}
-    plain = standin_platform.configuration(
+    data = standin_platform.configuration(
         1, [standin_platform.route("r", "/r/", Service="s", **route)], ["s"]
     )
-    plain["Services"][0]["WarmupPerS"] = rate
-    plain["Tenants"] = [{"Name": "o", "ApiKeys": ["k"], "AllowedRegions": organisations}]
-    found = decode.change("op/config", json.dumps(plain).encode(), 1)
+    data["Services"][0]["WarmupPerS"] = rate
+    data["Tenants"] = [{"Name": "o", "ApiKeys": ["k"], "AllowedRegions": organisations}]
+    found = decode.decode_change("op/config", json.dumps(data).encode(), 1)
     assert isinstance(found, news.Written)
     assert found.value.match("h.example", "/r/1") is not None
 
 
 @pytest.mark.parametrize("content", [b"{}", b"", b"\xff\xfe", b"[1,2]", b"null", b"x" * 2000])
-def test_an_evacuation_is_told_by_its_key_whatever_its_value(content):
-    """An evacuation whose value was not an object would have been taken for unreadable."""
-    found = decode.change("op/evacuate/dc-2", content, 7)
+def test_evacuation_is_recognised_by_its_key_alone(content):
+    """Guards against an evacuation that is rejected because its value is not a JSON object."""
+    found = decode.decode_change("op/evacuate/dc-2", content, 7)
     assert found.value == news.Evacuation("dc-2")
 
 
-def test_the_form_of_a_damaged_field_is_told():
+def test_field_error_states_the_expected_format():
     with pytest.raises(fields.FieldError, match="list of 64"):
-        fields.regions("montreal")
+        fields.read_regions("montreal")
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store against the stand-in."""
+"""Tests of the client of the platform's store, against the stand-in."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
             store.close()
 
 
-def write_some(standin, count):
+def write_entries(standin, count):
     standin.put("op/config", standin_platform.configuration(3, [], []))
     for number in range(count):
         replica = standin_platform.Replica(f"i-{number}", "s")
@@ -36,10 +36,10 @@
 
 
 @pytest.mark.parametrize("page", [2, 3, 500])
-def test_a_reading_takes_every_page(page):
+def test_read_all_reads_every_page(page):
     async def main():
         async with connected() as (standin, store):
-            write_some(standin, 5)
+            write_entries(standin, 5)
             standin.page = page
             snapshot = await store.read_all(may_be_stale=False)
             assert len(snapshot.written) == 6
@@ -48,16 +48,17 @@
     asyncio.run(main())
 
 
-def test_a_stale_reading_is_followed_from_its_oldest_page():
+def test_stale_read_has_the_revision_of_its_oldest_page():
     """
-    Pages that may be stale come from replicas of the store that lag by different times. Followed
-    from the first page's revision, what had changed before it but after the second page's would
-    never be learnt: a replica that left in between would go on getting requests.
+    Guards against changes missed after a stale read. Its pages come from replicas of the store that
+    lag by different amounts. A watch from the first page's revision would miss a change that is
+    older than this revision but newer than the second page's, and a replica that left in between
+    would continue to get requests.
     """
 
     async def main():
         async with connected() as (standin, store):
-            write_some(standin, 5)
+            write_entries(standin, 5)
             standin.page = 3
             standin.lags = [1, 4]
             snapshot = await store.read_all(may_be_stale=True)
@@ -67,10 +68,10 @@
     asyncio.run(main())
 
 
-def test_changes_are_followed_from_a_reading():
+def test_changes_continue_from_a_snapshot():
     async def main():
         async with connected() as (standin, store):
-            write_some(standin, 1)
+            write_entries(standin, 1)
             snapshot = await store.read_all(may_be_stale=False)
             waiting = asyncio.create_task(store.changes(snapshot.position, 20.0))
             await asyncio.sleep(0.02)
@@ -82,10 +83,10 @@
     asyncio.run(main())
 
 
-def test_lost_history_is_told():
+def test_lost_history_raises():
     async def main():
         async with connected() as (standin, store):
-            write_some(standin, 1)
+            write_entries(standin, 1)
             standin.forget_history()
             with pytest.raises(news.HistoryLostError):
                 await store.changes(news.Position(standin.era, 1), 0.01)
@@ -93,71 +94,74 @@
     asyncio.run(main())
 
 
-async def _at_once(standin, store, after):
-    """Ask when the store has returned already."""
-    returned(standin)
+async def _after_restore(standin, store, after):
+    """Watch after the store was restored."""
+    restore(standin)
     return await store.changes(after, 0.01)
 
 
-async def _while_waiting(standin, store, after):
-    """Wait for changes when the store returns, and ask again."""
+async def _during_watch(standin, store, after):
+    """Restore the store during a watch, then watch again."""
     waiting = asyncio.create_task(store.changes(after, 20.0))
     await asyncio.sleep(0.05)
-    returned(standin)
+    restore(standin)
     with pytest.raises(news.SourceError):
         await waiting
     return await store.changes(after, 0.01)
 
 
-async def _silent(standin, store, after):
-    """Wait on a connection that went silent, while another call hears of the return."""
+async def _without_response(standin, store, after):
+    """Restore during a watch that gets no response; another call receives the new era."""
     standin.cut_on_restore = False
     waiting = asyncio.create_task(store.changes(after, 20.0))
     await asyncio.sleep(0.05)
-    returned(standin)
+    restore(standin)
     await store.lease(3.0)
     async with asyncio.timeout(1.0):
         return await waiting
 
 
-def returned(standin, past=1):
-    """Return from a copy and count up to the revision that was known, or past it."""
+def restore(standin, past=1):
+    """Restore from a backup, then write up to the revision known before, or past it."""
     known = standin.revision
     standin.restore_backup(2)
     while standin.revision < known + past:
         standin.put("other/key", b"again")
 
 
-async def _known(standin, store, after):
-    """Ask when another call has told of the return."""
-    returned(standin, past=0)
+async def _after_known_restore(standin, store, after):
+    """Watch after another call has received the new era."""
+    restore(standin, past=0)
     await store.lease(3.0)
     async with asyncio.timeout(1.0):
         return await store.changes(after, 20.0)
 
 
-async def _reconnected(standin, store, after):
-    """Ask on a new connection, as the old one was cut, when nothing told of the return."""
+async def _after_reconnect(standin, store, after):
+    """Watch on a new connection after the old one was closed and no call received the new era."""
     with pytest.raises(news.SourceError):
         standin.fault = "busy"
         await store.changes(after, 0.01)
     standin.fault = None
     store.close()
-    returned(standin, past=0)
+    restore(standin, past=0)
     async with asyncio.timeout(1.0):
         return await store.changes(after, 20.0)
 
 
-@pytest.mark.parametrize("ask", [_at_once, _while_waiting, _silent, _known, _reconnected])
-def test_changes_are_not_followed_over_a_return_from_a_copy(ask):
-    """Guards against changes that are missed as their revisions were known before the return."""
+@pytest.mark.parametrize(
+    "watch",
+    [_after_restore, _during_watch, _without_response, _after_known_restore, _after_reconnect],
+)
+def test_changes_do_not_continue_over_a_restore(watch):
+    """Guards against missed changes: their revisions were in use before the restore already."""
 
     async def main():
         async with connected() as (standin, store):
-            write_some(standin, 3)
+            write_entries(standin, 3)
             snapshot = await store.read_all(may_be_stale=False)
             with pytest.raises(news.HistoryLostError):
-                await ask(standin, store, snapshot.position)
+                await watch(standin, store, snapshot.position)
             again = await store.read_all(may_be_stale=False)
             assert again.era == snapshot.era + 1
             assert {each.era for each in again.written} == {again.era}
@@ -165,14 +169,14 @@
     asyncio.run(main())
 
 
-def test_a_reading_over_a_return_from_a_copy_is_none():
-    """Guards against a reading whose pages are of two eras."""
+def test_read_all_during_a_restore_fails():
+    """Guards against a snapshot with pages from before and after a restore of the store."""
 
     async def main():
         async with connected() as (standin, store):
-            write_some(standin, 5)
+            write_entries(standin, 5)
             standin.page = 3
-            standin.on_page = lambda: returned(standin)
+            standin.on_page = lambda: restore(standin)
             with pytest.raises(news.SourceError) as error:
                 await store.read_all(may_be_stale=False)
             assert error.value.reason == "returned_from_copy"
@@ -184,50 +188,50 @@
     standin.put("op/evacuate/dc-1", b"{}")
 
 
-@pytest.mark.parametrize("counted", [1, 8], ids=["behind", "past"])
-def test_a_stale_reading_from_before_a_return_does_not_hide_what_operators_wrote(counted):
-    """Guards against an instance that starts on revisions which were given out again."""
+@pytest.mark.parametrize("writes", [1, 8], ids=["behind", "past"])
+def test_stale_read_from_before_a_restore_does_not_hide_operators_writes(writes):
+    """Guards against an instance that starts from a stale read with revisions that were reused."""
 
     async def main():
         async with connected() as (standin, store):
-            write_some(standin, 4)
+            write_entries(standin, 4)
             standin.remove("op/evacuate/dc-1")
             evacuate(standin)
-            standin.stale_copy = standin.copied()
+            standin.stale_state = standin.backup()
             standin.restore_backup(4)
-            for version in range(counted):
+            for version in range(writes):
                 standin.put("op/config", standin_platform.configuration(10 + version, [], []))
             snapshot = await store.read_all(may_be_stale=True)
             found = {each.key: each for each in snapshot.written}
-            assert found["op/config"].value.version == 9 + counted
+            assert found["op/config"].value.version == 9 + writes
             assert "op/evacuate/dc-1" not in found
-            assert len(found) == (5 if counted > 4 else 3)
+            assert len(found) == (5 if writes > 4 else 3)
 
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("told", [b"", b"-1", b"2.5", b"x", b"9" * 30], ids=repr)
-def test_an_era_that_cannot_be_read_is_taken_for_the_latest(told):
-    """Guards against answers of a store that tells its era in no or another form."""
+@pytest.mark.parametrize("header_value", [b"", b"-1", b"2.5", b"x", b"9" * 30], ids=repr)
+def test_malformed_era_is_treated_as_the_latest(header_value):
+    """Guards against responses without an era, or with a malformed one."""
 
     async def main():
         async with connected() as (standin, store):
-            write_some(standin, 1)
+            write_entries(standin, 1)
             before = await store.read_all(may_be_stale=False)
-            standin.told_era = told
+            standin.era_header = header_value
             assert (await store.read_all(may_be_stale=False)).position == before.position
 
     asyncio.run(main())
 
 
-def test_an_answer_from_before_the_return_counts_for_nothing():
-    """Guards against an answer that was under way while the store returned from a copy."""
+def test_response_from_before_a_restore_is_rejected():
+    """Guards against a response that was in flight while the store was restored from a backup."""
 
     async def main():
         async with connected() as (standin, store):
-            write_some(standin, 1)
+            write_entries(standin, 1)
             await store.read_all(may_be_stale=False)
-            standin.told_era = b"0"
+            standin.era_header = b"0"
             with pytest.raises(news.SourceError) as error:
                 await store.lease(3.0)
             assert error.value.reason == "older_era"
@@ -235,7 +239,7 @@
     asyncio.run(main())
 
 
-def test_a_registration_lives_with_its_lease():
+def test_registration_ends_with_its_lease():
     async def main():
         async with connected() as (standin, store):
             lease = await store.lease(3.0)
@@ -253,10 +257,10 @@
 
 
 @pytest.mark.parametrize("written_again", [False, True])
-def test_an_entry_is_taken_out_unless_it_was_written_since(written_again):
+def test_remove_fails_for_an_entry_written_since(written_again):
     """
-    An instance is missed by another, and registers again just before it is taken out. Taken out all
-    the same, it would be told to nobody although it runs.
+    Guards against the removal of a running instance: another instance finds it silent, and it
+    registers again just before it is deregistered. Removed regardless, it would run unlisted.
     """
 
     async def main():
@@ -272,10 +276,12 @@
     asyncio.run(main())
 
 
-def test_no_more_keys_are_taken_out_than_one_call_may_name():
+def test_remove_rejects_more_keys_than_one_call_allows():
     async def main():
         async with connected() as (standin, store):
-            entries = [news.Written(f"k/{n}", OWN, 1) for n in range(store_module.MOST_KEYS + 1)]
+            entries = [
+                news.Written(f"k/{n}", OWN, 1) for n in range(store_module.MAX_KEYS_PER_CALL + 1)
+            ]
             with pytest.raises(news.SourceError):
                 await store.remove(entries)
             assert standin.calls == []
@@ -284,10 +290,11 @@
 
 
 @pytest.mark.parametrize(("fault", "reason"), [("busy", "busy"), ("lost", "timeout")])
-def test_a_store_without_answers(fault, reason, monkeypatch):
+def test_call_after_a_failed_call_succeeds(fault, reason, monkeypatch):
     """
-    The store does a write and its answer is lost. The connection is useless from then on: a client
-    that keeps it waits for ever. So it is closed, and the next call opens another one.
+    Guards against a client that reuses a connection after a lost response, and waits forever: the
+    store applies a write, but sends no further response on that connection. The client closes it,
+    and the next call opens another one.
     """
     monkeypatch.setattr(store_module, "CALL_TIMEOUT_S", 0.1)
 
@@ -307,10 +314,10 @@
 @pytest.mark.parametrize(
     "value", [b"no json", b"[]", b'{"Version":1}', b'{"Service":"s","Address":"nowhere"}']
 )
-def test_values_that_cannot_be_read_leave_the_others_as_they_are(value):
+def test_unreadable_values_do_not_affect_others(value):
     async def main():
         async with connected() as (standin, store):
-            write_some(standin, 2)
+            write_entries(standin, 2)
             standin.put("op/config", value)
             standin.put("servers/i-9", value)
             snapshot = await store.read_all(may_be_stale=False)
--- a/tests/standin_platform.py
+++ b/tests/standin_platform.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store, and replicas, with faults that tests switch on."""
+"""Stand-ins for the platform's store and for replicas, with fault injection."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 OK = 200
 FIRST_LEASE = 7000
-COPIES = 200
-"""Changes back to which the store can return."""
+MAX_BACKUPS = 200
+"""Latest changes that a restore of the store can undo."""
 ERA_HEADER = b"store-era"
 
 
 @attrs.frozen
-class Copy:
-    """What the store held at one revision."""
+class Backup:
+    """The store's state at one revision."""
 
     revision: int
     items: dict
@@ -32,7 +32,7 @@
 
 
 class Store:
-    """Keys with revisions, leases and history, as the platform's page describes them."""
+    """Keys with revisions, leases and history, as in the platform's documentation."""
 
     def __init__(self):
         self.items = {}
@@ -42,31 +42,31 @@
         self.leases = {}
         self.calls = []
         self.fault = None
-        """``busy``, ``silent`` or ``lost``: every call is refused, hangs, or is done unanswered."""
+        """``busy``: calls are refused; ``silent``: they hang; ``lost``: applied, no response."""
         self.page = 500
         self.lags = []
-        """Revisions by which the next stale reads say that they lag."""
+        """Revisions by which each of the next stale reads reports to lag."""
         self.stale_reads = 0
-        self.stale_copy = None
-        """What stale reads show instead of the present state."""
+        self.stale_state = None
+        """State that stale reads return instead of the current one."""
         self.era = 1
-        """Rises each time the store returns from a copy; told in every answer."""
-        self.told_era = None
-        """The value of the era's header, if another one than the era is told."""
+        """Incremented with each restore from a backup; sent with every response."""
+        self.era_header = None
+        """Value of the era header; ``None``: the era."""
         self.cut_on_restore = True
-        """Whether questions that wait are cut when the store returns from a copy."""
+        """Whether a restore from a backup ends pending watches; otherwise they hang."""
         self.on_page = lambda: None
-        """Called when a page of a reading is answered."""
-        self.copies = collections.deque(maxlen=COPIES)
-        """The state before each of the latest changes, the newest last."""
+        """Called when a page of a read is returned."""
+        self.backups = collections.deque(maxlen=MAX_BACKUPS)
+        """The state before each of the latest changes, newest last."""
         self.rewrite_value = lambda key, content: content
-        """Changes what an instance writes: an address, so that others come by way of a proxy."""
+        """Rewrites an instance's entry, such as its address to route its peers through a proxy."""
         self._changed = asyncio.Event()
         self._numbers = itertools.count(FIRST_LEASE)
 
     def put(self, key, value, lease=0):
         """Write a key as the operator or a replica would."""
-        self._keep_copy()
+        self._add_backup()
         self.revision += 1
         content = value if isinstance(value, bytes) else json.dumps(value).encode()
         created = self.items[key]["Created"] if key in self.items else self.revision
@@ -78,44 +78,44 @@
             "Lease": lease,
         }
         self.items[key] = item
-        self._tell(item)
+        self._publish(item)
 
     def remove(self, key):
         """Remove a key."""
         if key in self.items:
-            self._keep_copy()
+            self._add_backup()
             del self.items[key]
             self.revision += 1
-            self._tell({"Key": key, "Revision": self.revision, "Tombstone": True})
+            self._publish({"Key": key, "Revision": self.revision, "Tombstone": True})
 
-    def _tell(self, event):
+    def _publish(self, event):
         self.history.append(event)
         self._wake()
 
-    def _keep_copy(self):
-        self.copies.append(self.copied())
+    def _add_backup(self):
+        self.backups.append(self.backup())
 
-    def copied(self):
-        """Return what the store holds now."""
-        return Copy(self.revision, dict(self.items), dict(self.leases))
+    def backup(self):
+        """Return a backup of the current state."""
+        return Backup(self.revision, dict(self.items), dict(self.leases))
 
     def restore_backup(self, changes):
         """
-        Lose the latest changes, and give their revisions out again from now on.
+        Lose the latest changes, and reuse their revisions.
 
-        :returns: the keys of others than the system that were changed since, with the values that
-            they had; ``None`` for a key that was removed
+        :returns: the lost values of the operator's and the replicas' keys; ``None`` for a key whose
+            removal was lost
         """
         lost = {}
-        changes = min(changes, len(self.copies))
+        changes = min(changes, len(self.backups))
         if changes:
-            restored = self.copies[-changes]
+            restored = self.backups[-changes]
             for event in self.history:
-                if event["Revision"] > restored.revision and is_of_others(event["Key"]):
+                if event["Revision"] > restored.revision and is_external_key(event["Key"]):
                     item = self.items.get(event["Key"])
                     lost[event["Key"]] = base64.b64decode(item["Value"]) if item else None
             for _ in range(changes):
-                self.copies.pop()
+                self.backups.pop()
             self.items, self.revision = dict(restored.items), restored.revision
             self.leases = dict(restored.leases)
             self.history = [each for each in self.history if each["Revision"] <= self.revision]
@@ -126,7 +126,7 @@
         return lost
 
     def write_again(self, lost):
-        """Write what the operator and the replicas had written since the copy, as they do."""
+        """Repeat the lost writes of the operator and the replicas, as these do."""
         for key, content in lost.items():
             if content is None:
                 self.remove(key)
@@ -138,47 +138,47 @@
         changed.set()
 
     def forget_history(self):
-        """Drop the history; watches from before get 410."""
+        """Drop the history; watches from an earlier revision get status 410."""
         self.first_known = self.revision
         self._wake()
 
     def end_lease(self, lease):
-        """End a lease with its keys."""
+        """End a lease and remove its keys."""
         self.leases.pop(lease, None)
         for key in [key for key, item in self.items.items() if item["Lease"] == lease]:
             self.remove(key)
 
     async def handle(self, request):
-        """Answer one call."""
+        """Handle one call."""
         path, _, query = request.target.decode().partition("?")
         call = path.removeprefix("/turmericlug/")
-        asked = {key: values[0] for key, values in urllib.parse.parse_qs(query).items()}
+        parameters = {key: values[0] for key, values in urllib.parse.parse_qs(query).items()}
         self.calls.append(call)
         if self.fault == "busy":
             return messages.Answer(503, self._headers())
         if self.fault == "silent":
             await asyncio.sleep(60)
         headers = self._headers()
-        status, body = await self._answer(call, asked, json.loads(request.body or b"{}"))
+        status, body = await self._answer(call, parameters, json.loads(request.body or b"{}"))
         if self.fault == "lost":
             await asyncio.sleep(60)
         return messages.Answer(status, headers, json.dumps(body).encode())
 
     def _headers(self):
-        told = b"%d" % self.era if self.told_era is None else self.told_era
-        return ((ERA_HEADER, told),)
+        value = b"%d" % self.era if self.era_header is None else self.era_header
+        return ((ERA_HEADER, value),)
 
-    async def _answer(self, call, asked, body):
+    async def _answer(self, call, parameters, body):
         name, _, rest = call.partition("/")
-        return await getattr(self, "_" + name.replace("-", "_"))(asked, body, rest)
+        return await getattr(self, "_" + name.replace("-", "_"))(parameters, body, rest)
 
-    async def _kv_range(self, asked, body, rest):
-        stale = asked.get("Serializable") == "1"
-        state = self.stale_copy if stale and self.stale_copy else self
+    async def _kv_range(self, parameters, body, rest):
+        stale = parameters.get("Serializable") == "1"
+        state = self.stale_state if stale and self.stale_state else self
         keys = sorted(
             key
             for key in state.items
-            if key.startswith(asked.get("Prefix", "")) and key > asked.get("after", "")
+            if key.startswith(parameters.get("Prefix", "")) and key > parameters.get("after", "")
         )
         items = [state.items[key] for key in keys[: self.page]]
         more = len(keys) > self.page
@@ -188,9 +188,9 @@
         self.on_page()
         return OK, answer
 
-    async def _kv_watch(self, asked, body, rest):
-        after, era = int(asked["after"]), self.era
-        until = asyncio.get_running_loop().time() + int(asked["WaitMs"]) / 1000
+    async def _kv_watch(self, parameters, body, rest):
+        after, era = int(parameters["after"]), self.era
+        until = asyncio.get_running_loop().time() + int(parameters["WaitMs"]) / 1000
         while True:
             if self.era != era and not self.cut_on_restore:
                 await asyncio.sleep(60)
@@ -206,19 +206,19 @@
                 async with asyncio.timeout(left_s):
                     await self._changed.wait()
 
-    async def _kv_lease(self, asked, body, rest):
+    async def _kv_lease(self, parameters, body, rest):
         lease = next(self._numbers)
         self.leases[lease] = body["TtlMs"]
         return OK, {"Lease": lease, "TtlMs": body["TtlMs"]}
 
-    async def _kv_keep(self, asked, body, rest):
+    async def _kv_keep(self, parameters, body, rest):
         return (OK, {"TtlMs": 3000}) if int(rest) in self.leases else (404, {})
 
-    async def _kv_lease_end(self, asked, body, rest):
+    async def _kv_lease_end(self, parameters, body, rest):
         self.end_lease(int(rest))
         return OK, {}
 
-    async def _kv_txn(self, asked, body, rest):
+    async def _kv_txn(self, parameters, body, rest):
         expected = {row["Key"]: row["Revision"] for row in body["ExpectedRev"]}
         if any(
             (self.items[key]["Revision"] if key in self.items else 0) != revision
@@ -235,13 +235,13 @@
         return OK, {"Revision": self.revision}
 
 
-def is_of_others(key):
-    """Whether a key is written by the operator or a replica."""
+def is_external_key(key):
+    """Whether a key is written by the operator or by a replica."""
     return key.startswith(("op/", "servers/"))
 
 
 class Replica:
-    """A replica that answers every request with its own signature; ``script`` changes that."""
+    """A replica that signs each response; ``script`` may answer requests instead."""
 
     def __init__(self, instance, service, body=b"", delay_s=0.0, data_centre="dc-1"):
         self.instance = instance
@@ -253,17 +253,17 @@
         self.address = None
         self.script = None
         self.on_lethal = None
-        """Ends the replica while it runs a request whose path says that it is lethal."""
+        """Called to end the replica while it runs a request with ``lethal`` in its path."""
         self.born_ms = 1_790_000_000_000
         self.sequence = 0
 
     def start_again(self):
-        """Become another incarnation under the same name, which knows nothing of before."""
+        """Restart as another incarnation under the same name, without earlier state."""
         self.born_ms += 1500
         self.sequence = 0
 
     async def handle(self, request):
-        """Answer one request as the page says."""
+        """Handle one request as the platform's documentation defines."""
         expected = request.header(b"x-expect-instance")
         request_id = request.header(b"x-request-id") or b""
         if expected and expected != self.instance.encode():
@@ -276,13 +276,13 @@
         await asyncio.sleep(self.delay_s)
         if self.on_lethal is not None and b"lethal" in request.target:
             self.on_lethal(self)
-            raise ConnectionResetError("the replica has ended")
+            raise ConnectionResetError("the replica has crashed")
         stamp = b"%s.%d.%s" % (self.instance.encode(), len(self.runs), request_id)
         headers = ((b"x-request-id", request_id), (b"x-server-stamp", stamp))
         return messages.Answer(200, headers, self.body)
 
     def entry(self, state="ready"):
-        """Return what the replica writes of itself."""
+        """Return the entry that the replica publishes of itself."""
         self.sequence += 1
         return {
             "Service": self.service,
@@ -299,18 +299,18 @@
 
 @contextlib.asynccontextmanager
 async def listening(handler, port=0):
-    """Serve a handler on loopback; yields its address."""
-    entrance = server.Server(handler, messages.Limits, 1000)
-    listener = await server.listen(entrance, "127.0.0.1", port)
+    """Serve a handler on the loopback interface; yield its address."""
+    http_server = server.Server(handler, messages.Limits, 1000)
+    listener = await server.listen(http_server, "127.0.0.1", port)
     try:
         yield listener.sockets[0].getsockname()
     finally:
         listener.close()
-        entrance.close()
+        http_server.close()
 
 
 def route(name, prefix, **changes):
-    """Return a route as the operator writes it."""
+    """Return a route in the operator's format."""
     return {
         "Name": name,
         "Host": "h.example",
@@ -324,7 +324,7 @@
 
 
 def configuration(version, routes, services):
-    """Return a configuration as the operator writes it."""
+    """Return a configuration in the operator's format."""
     limits = {
         "MaxHeaderBytes": 16384,
         "MaxBodyBytes": 262144,
