--- a/src/turmericlug/records/records.py
+++ b/src/turmericlug/records/records.py
@@ -1,4 +1,4 @@
-"""Idempotency records for coordinators: which instance writes a key's bucket, and asking it."""
+"""Idempotency records for coordinators: find the owner of a key's bucket and call it."""
 
 from __future__ import annotations
 
@@ -20,47 +20,47 @@
 from turmericlug.wire import link as link_module
 from turmericlug.wire import server as server_module
 
-KEY = re.compile(r"([0-9]{9,11})-[A-Za-z0-9._~-]{1,128}\Z")
-"""An idempotency key: the Unix second in which the caller made it, and a name of its choice."""
-FUTURE_S = 300
-_TRIES = 3
-SETTLE_TIMEOUT_S = 10.0
-"""Time of one try to record how a claim ended: an outage of the store lasts for seconds."""
-SETTLE_FOR_S = 60.0
-"""An instance that leaves waits no longer than its own grace period for it."""
-SETTLE_AGAIN_S = 0.2
-SETTLE_AGAIN_MOST_S = 5.0
-"""Pauses between tries: a lost link is made again within a second."""
+KEY_PATTERN = re.compile(r"([0-9]{9,11})-[A-Za-z0-9._~-]{1,128}\Z")
+"""An idempotency key: the Unix time of its creation in seconds, and a name given by the caller."""
+MAX_FUTURE_S = 300
+_MAX_ATTEMPTS = 3
+SETTLE_ATTEMPT_TIMEOUT_S = 10.0
+"""Timeout of one attempt to settle a claim; an outage of the store lasts for seconds."""
+SETTLE_TOTAL_S = 60.0
+"""Limit over all attempts. A draining instance waits for its own grace period at most."""
+SETTLE_BACKOFF_MIN_S = 0.2
+SETTLE_BACKOFF_MAX_S = 5.0
+"""Bounds of the backoff between attempts; a lost link is re-established within a second."""
 
 
 class InvalidKeyError(ValueError):
-    """An idempotency key that can't be used; the text says why."""
+    """An invalid idempotency key; the message is the reason."""
 
 
 def created_at_s(key: str, retention_s: int) -> int:
     """
-    Read when a key was made.
+    Return a key's creation time.
 
-    :raises InvalidKeyError: not of the form, from the future, or older than records are kept
+    :raises InvalidKeyError: malformed, from the future, or older than the retention of records
     """
-    match = KEY.match(key)
+    match = KEY_PATTERN.match(key)
     if match is None:
         raise InvalidKeyError("idempotency_key_malformed")
-    made_at_s = int(match.group(1))
-    if made_at_s > time.time() + FUTURE_S:
+    created_s = int(match.group(1))
+    if created_s > time.time() + MAX_FUTURE_S:
         raise InvalidKeyError("idempotency_key_from_the_future")
-    if made_at_s < time.time() - retention_s:
+    if created_s < time.time() - retention_s:
         raise InvalidKeyError("idempotency_key_too_old")
-    return made_at_s
+    return created_s
 
 
 def fingerprint(service: str, body: bytes) -> str:
-    """Digest a request, to tell a repeat from another request under the same key."""
+    """Hash a request, to distinguish a retry from another request with the same key."""
     return xxhash.xxh3_128_hexdigest(service.encode() + b"\0" + body)
 
 
 class Records:
-    """The buckets that this instance writes, and the way to those of others."""
+    """The buckets that this instance writes, and access to those of its peers."""
 
     def __init__(
         self,
@@ -94,69 +94,70 @@
         return self._buckets[number]
 
     def reconcile(self) -> None:
-        """Compare the store's records with those known here, as it has returned from a copy."""
+        """Write lost records again after the store was restored from a backup."""
         for bucket in self._buckets.values():
             bucket.reconcile()
 
-    async def ask(self, wanted: ledger.Operation, timeout_s: float) -> ledger.Verdict:
+    async def ask(self, operation: ledger.Operation, timeout_s: float) -> ledger.Verdict:
         """
-        Have an operation recorded by the bucket's owner, or by the next in rank.
+        Have an operation recorded by the bucket's owner, or by the next instance in rank.
 
-        Asking twice is harmless: the operation carries its attempt, and the second writer finds
-        it recorded.
+        Calling twice is safe: the operation carries its attempt, so the second writer finds it
+        recorded.
 
-        :returns: ``unavailable`` when nothing was confirmed in time; it **may** be recorded
+        :returns: ``unavailable`` if nothing was confirmed in time; it **may** still be recorded
         """
         deadline_s = time.monotonic() + timeout_s
-        bucket = self._bucket_number(wanted.key)
+        bucket = self._bucket_number(operation.key)
         members = self._mesh.members
         ranking = members_module.owners(f"records/{bucket}", "", members.serving())
         verdict = ledger.unavailable("no_owner")
-        for tries_left, member in zip(range(_TRIES, 0, -1), ranking, strict=False):
+        for attempts_left, member in zip(range(_MAX_ATTEMPTS, 0, -1), ranking, strict=False):
             left_s = deadline_s - time.monotonic()
             if left_s <= 0:
                 break
-            # The first gets most of the time: a store that is slow is slow for each of them.
-            share_s = left_s * (0.6 if tries_left > 1 else 1.0)
+            # Every attempt but the last gets 60 % of the time left, as a slow store is slow for
+            # each instance.
+            attempt_timeout_s = left_s * (0.6 if attempts_left > 1 else 1.0)
             if member.instance == members.own.instance:
-                verdict = await self._ask_own(bucket, wanted, share_s)
+                verdict = await self._ask_own(bucket, operation, attempt_timeout_s)
             else:
-                verdict = await self._ask_peer(member.instance, wanted, share_s)
+                verdict = await self._ask_peer(member.instance, operation, attempt_timeout_s)
             if verdict.outcome != ledger.UNAVAILABLE:
                 break
-        self._counters.add(f"records.{wanted.operation}.{verdict.outcome}")
+        self._counters.add(f"records.{operation.operation}.{verdict.outcome}")
         return verdict
 
     async def settle(self, operation: ledger.Operation) -> ledger.Verdict:
         """
-        Record how a claim ended, and try again while nobody can be asked.
+        Record the outcome or release of a claim, with retries while no instance is available.
 
-        A claim that is never settled stays open: every repeat of its key is told that the key is in
-        use, although its one run has been answered. One moment without a link to the bucket's owner
-        was enough for that.
+        A claim that is never settled stays open: every retry of its key is answered that the key is
+        in use, although its only run was answered. Without retries here, one moment without a link
+        to the bucket's owner caused that.
 
-        :returns: ``unavailable`` when nobody confirmed it for a minute
+        :returns: ``unavailable`` if no instance confirmed it within ``SETTLE_TOTAL_S``
         """
-        end_s = time.monotonic() + SETTLE_FOR_S
-        pause_s = SETTLE_AGAIN_S
+        end_s = time.monotonic() + SETTLE_TOTAL_S
+        backoff_s = SETTLE_BACKOFF_MIN_S
         while True:
-            verdict = await self.ask(operation, SETTLE_TIMEOUT_S)
-            if verdict.outcome != ledger.UNAVAILABLE or time.monotonic() + pause_s > end_s:
+            verdict = await self.ask(operation, SETTLE_ATTEMPT_TIMEOUT_S)
+            if verdict.outcome != ledger.UNAVAILABLE or time.monotonic() + backoff_s > end_s:
                 return verdict
-            await asyncio.sleep(pause_s)
-            pause_s = min(2 * pause_s, SETTLE_AGAIN_MOST_S)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(2 * backoff_s, SETTLE_BACKOFF_MAX_S)
 
     async def _ask_own(
-        self, bucket: int, wanted: ledger.Operation, timeout_s: float
+        self, bucket: int, operation: ledger.Operation, timeout_s: float
     ) -> ledger.Verdict:
         try:
             async with asyncio.timeout(timeout_s):
-                return await self._bucket(bucket).ask(wanted)
+                return await self._bucket(bucket).ask(operation)
         except TimeoutError:
             return ledger.unavailable("store")
 
     async def _ask_peer(
-        self, instance: str, wanted: ledger.Operation, timeout_s: float
+        self, instance: str, operation: ledger.Operation, timeout_s: float
     ) -> ledger.Verdict:
         link = self._mesh.link(instance)
         if link is None:
@@ -164,12 +165,12 @@
 
         def fill(envelope: typing.Any) -> None:
             claim = envelope.init("claim")
-            claim.operation = wanted.operation
-            claim.key = wanted.key
-            claim.attempt = wanted.attempt
-            claim.fingerprint = wanted.fingerprint
-            claim.createdAtS = wanted.created_at_s
-            claim.outcome = wanted.outcome
+            claim.operation = operation.operation
+            claim.key = operation.key
+            claim.attempt = operation.attempt
+            claim.fingerprint = operation.fingerprint
+            claim.createdAtS = operation.created_at_s
+            claim.outcome = operation.outcome
             claim.remainingMs = int(timeout_s * 900)
 
         try:
@@ -181,9 +182,9 @@
         return ledger.Verdict(str(reply.claimReply.outcome), reply.claimReply.detail)
 
     async def on_claim(self, request: server_module.Request) -> None:
-        """Decide an operation for a coordinator on another instance."""
+        """Handle an operation from a coordinator on another instance."""
         claim = request.message.claim
-        wanted = ledger.Operation(
+        operation = ledger.Operation(
             str(claim.operation),
             claim.key,
             claim.attempt,
@@ -192,7 +193,7 @@
             claim.outcome,
         )
         verdict = await self._ask_own(
-            self._bucket_number(wanted.key), wanted, claim.remainingMs / 1000
+            self._bucket_number(operation.key), operation, claim.remainingMs / 1000
         )
         request.reply(
             lambda envelope: codec.fill(
@@ -201,5 +202,5 @@
         )
 
     async def close(self) -> None:
-        """End the writers."""
+        """Stop the writers of all buckets."""
         await self._tasks.close()
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -284,7 +284,7 @@
         "platform/store.py",
         "        if self._watch_channel.interrupted:",
         "        if not self._watch_channel:",
-        "platform/test_store.py" "::test_changes_do_not_continue_over_a_restore[_after_reconnect]",
+        "platform/test_store.py::test_changes_do_not_continue_over_a_restore[_after_reconnect]",
     ),
     mutant.one(
         "pending-watch-kept-after-a-restore",
--- a/tests/records/test_ledger.py
+++ b/tests/records/test_ledger.py
@@ -1,4 +1,4 @@
-"""One bucket of records: verdicts, and a state machine of writers, outages and lost answers."""
+"""Tests of a bucket of records: verdicts, and a state machine of writers, outages and restores."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 NOW_S = int(time.time())
 LATER_S = 100
-"""Farther than a test lasts."""
+"""Longer than a test runs."""
 
 
-def operation(kind, attempt="a1", key="k", fingerprint="f", outcome="", at_s=NOW_S):
+def make_operation(kind, attempt="a1", key="k", fingerprint="f", outcome="", at_s=NOW_S):
     return ledger.Operation(kind, key, attempt, fingerprint, at_s, outcome)
 
 
@@ -31,32 +31,32 @@
 
 
 @pytest.mark.parametrize(
-    ("entry", "wanted", "verdict"),
+    ("entry", "operation", "verdict"),
     [
-        (None, operation("claim"), "granted"),
-        (CLAIMED, operation("claim"), "granted"),
-        (CLAIMED, operation("claim", "a2"), "open"),
-        (CLAIMED, operation("claim", "a2", fingerprint="g"), "mismatch"),
-        (SETTLED, operation("claim", "a2"), "settled"),
-        (RELEASED, operation("claim", "a2"), "granted"),
-        (RELEASED, operation("claim", "a1"), "unavailable"),
-        (None, operation("settle"), "mismatch"),
-        (CLAIMED, operation("settle", outcome="done"), "granted"),
-        (CLAIMED, operation("settle", "a2", outcome="done"), "mismatch"),
-        (RELEASED, operation("settle", outcome="done"), "mismatch"),
-        (CLAIMED, operation("release"), "granted"),
-        (CLAIMED, operation("release", "a2"), "mismatch"),
-        (None, operation("release"), "granted"),
+        (None, make_operation("claim"), "granted"),
+        (CLAIMED, make_operation("claim"), "granted"),
+        (CLAIMED, make_operation("claim", "a2"), "open"),
+        (CLAIMED, make_operation("claim", "a2", fingerprint="g"), "mismatch"),
+        (SETTLED, make_operation("claim", "a2"), "settled"),
+        (RELEASED, make_operation("claim", "a2"), "granted"),
+        (RELEASED, make_operation("claim", "a1"), "unavailable"),
+        (None, make_operation("settle"), "mismatch"),
+        (CLAIMED, make_operation("settle", outcome="done"), "granted"),
+        (CLAIMED, make_operation("settle", "a2", outcome="done"), "mismatch"),
+        (RELEASED, make_operation("settle", outcome="done"), "mismatch"),
+        (CLAIMED, make_operation("release"), "granted"),
+        (CLAIMED, make_operation("release", "a2"), "mismatch"),
+        (None, make_operation("release"), "granted"),
     ],
 )
-def test_judge(entry, wanted, verdict):
-    assert ledger.judge(entry, wanted)[0].outcome == verdict
+def test_decide(entry, operation, verdict):
+    assert ledger.decide(entry, operation)[0].outcome == verdict
 
 
-def test_late_claim_of_a_released_attempt_does_not_revive_it():
-    """A release overtakes its claim; the caller heard "not run", so the claim must fail."""
-    _, entry = ledger.judge(None, operation("release"))
-    verdict, changed = ledger.judge(entry, operation("claim"))
+def test_late_claim_of_a_released_attempt_is_not_granted():
+    """Guards against a run after the answer "not run", when a release overtakes its claim."""
+    _, entry = ledger.decide(None, make_operation("release"))
+    verdict, changed = ledger.decide(entry, make_operation("claim"))
     assert (verdict.outcome, changed) == ("unavailable", None)
 
 
@@ -64,11 +64,11 @@
     return ledger.Bucket(store, "r/0/", 3600, 0, counters_module.Counters())
 
 
-async def ask(writer, wanted, limit_s=0.3):
+async def ask(writer, operation, limit_s=0.3):
     task = asyncio.create_task(writer.run())
     try:
         async with asyncio.timeout(limit_s):
-            return await writer.ask(wanted)
+            return await writer.ask(operation)
     except TimeoutError:
         return ledger.unavailable("store")
     finally:
@@ -79,7 +79,7 @@
     async def main():
         store = fake_store.FakeStore()
         writer = bucket(store)
-        asked = [writer.ask(operation("claim", f"a{n}", f"k{n}")) for n in range(100)]
+        asked = [writer.ask(make_operation("claim", f"a{n}", f"k{n}")) for n in range(100)]
         tasks = [asyncio.create_task(each) for each in asked]
         await asyncio.sleep(0)
         running = asyncio.create_task(writer.run())
@@ -91,39 +91,39 @@
     assert asyncio.run(main()) == 1
 
 
-def test_compaction_keeps_what_counts():
+def test_compaction_keeps_live_records():
     async def main():
         store = fake_store.FakeStore()
         writer = bucket(store)
         for number in range(80):
-            await ask(writer, operation("claim", f"a{number}", f"k{number}"))
-        await ask(writer, operation("settle", "a3", "k3", outcome="done"))
-        old = operation("claim", "old", "old", at_s=NOW_S - 3000)
+            await ask(writer, make_operation("claim", f"a{number}", f"k{number}"))
+        await ask(writer, make_operation("settle", "a3", "k3", outcome="done"))
+        old = make_operation("claim", "old", "old", at_s=NOW_S - 3000)
         await ask(writer, old)
         assert len(store.values) < 60
         fresh = bucket(store)
         for number in range(80):
-            verdict = await ask(fresh, operation("claim", "other", f"k{number}"))
+            verdict = await ask(fresh, make_operation("claim", "other", f"k{number}"))
             assert verdict.outcome == ("settled" if number == 3 else "open")
-        expired = await ask(fresh, operation("claim", "x", "x", at_s=NOW_S - 4000))
+        expired = await ask(fresh, make_operation("claim", "x", "x", at_s=NOW_S - 4000))
         assert expired.outcome == "expired"
 
     asyncio.run(main())
 
 
-def test_a_writer_takes_no_other_write_for_the_one_that_it_read():
-    """Guards against a request that runs twice as a head's revision was given out again."""
+def test_writer_does_not_mistake_another_head_for_the_one_it_read():
+    """Guards against a request that runs twice because the head's revision was reused."""
 
     async def main():
         store = fake_store.FakeStore()
         first, second = bucket(store), bucket(store)
         for number in range(2):
-            await ask(first, operation("claim", f"a{number}", f"k{number}"))
+            await ask(first, make_operation("claim", f"a{number}", f"k{number}"))
         store.restore_backup(1)
         later_s = int(time.time()) + LATER_S
-        granted = await ask(second, operation("claim", "b", "y", at_s=later_s))
+        granted = await ask(second, make_operation("claim", "b", "y", at_s=later_s))
         assert granted.outcome == "granted"
-        assert (await ask(first, operation("claim", "c", "y", at_s=later_s))).outcome == "open"
+        assert (await ask(first, make_operation("claim", "c", "y", at_s=later_s))).outcome == "open"
 
     asyncio.run(main())
 
@@ -131,25 +131,25 @@
 @pytest.mark.parametrize(
     ("last", "again", "verdict"),
     [
-        ("claim", operation("claim", "b"), "open"),
-        ("settle", operation("claim", "b"), "settled"),
-        ("release", operation("claim", "b"), "granted"),
-        ("claim", operation("claim", "b", at_s=NOW_S + LATER_S), "open"),
+        ("claim", make_operation("claim", "b"), "open"),
+        ("settle", make_operation("claim", "b"), "settled"),
+        ("release", make_operation("claim", "b"), "granted"),
+        ("claim", make_operation("claim", "b", at_s=NOW_S + LATER_S), "open"),
     ],
 )
-@pytest.mark.parametrize("asked", ["the same writer", "another", "one that was started"])
-def test_a_lost_record_is_put_back_by_who_knows_it(last, again, verdict, asked):
-    """Guards against a request that runs twice as the store lost the record of its first run."""
+@pytest.mark.parametrize("asked", ["the same writer", "another writer", "a new writer"])
+def test_lost_record_is_written_again_by_a_writer_that_knows_it(last, again, verdict, asked):
+    """Guards against a request that runs twice because the store lost its first record."""
 
     async def main():
         store = fake_store.FakeStore()
         first, second = bucket(store), bucket(store)
         store.eras.on_restore += [first.reconcile, second.reconcile]
-        made = operation("claim", "a", at_s=again.created_at_s)
-        await ask(second, operation("claim", "x", "x"))
+        made = make_operation("claim", "a", at_s=again.created_at_s)
+        await ask(second, make_operation("claim", "x", "x"))
         assert (await ask(first, made)).outcome == "granted"
         if last != "claim":
-            await ask(first, operation(last, "a", outcome="done" if last == "settle" else ""))
+            await ask(first, make_operation(last, "a", outcome="done" if last == "settle" else ""))
         store.restore_backup(2)
         store.eras.observe(store.era)
         running = asyncio.create_task(first.run())
@@ -157,7 +157,7 @@
             while not first._counters.totals["records.written_again"]:
                 await asyncio.sleep(0.001)
         running.cancel()
-        writers = {"the same writer": first, "another": second, "one that was started": None}
+        writers = {"the same writer": first, "another writer": second, "a new writer": None}
         found = await ask(writers[asked] or bucket(store), again)
         assert found.outcome == verdict
 
@@ -167,60 +167,62 @@
 @pytest.mark.parametrize(
     ("after_s", "verdict"), [(-LATER_S, "open"), (LATER_S, "granted")], ids=["before", "after"]
 )
-@pytest.mark.parametrize("heard", [True, False], ids=["lived through it", "started after it"])
-def test_a_key_made_before_the_return_that_nobody_knows_may_have_run(heard, after_s, verdict):
-    """Guards against a second run of a request whose record nobody that is left has seen."""
+@pytest.mark.parametrize(
+    "observed", [True, False], ids=["running during the restore", "started after it"]
+)
+def test_unknown_key_from_before_a_restore_is_open(observed, after_s, verdict):
+    """Guards against a second run of a request whose lost record no remaining writer has read."""
     at_s = int(time.time()) + after_s
 
     async def main():
         store = fake_store.FakeStore()
-        gone, other = bucket(store), bucket(store)
-        await ask(other, operation("claim", "x", "x"))
-        assert (await ask(gone, operation("claim", "a", at_s=at_s))).outcome == "granted"
+        stopped, other = bucket(store), bucket(store)
+        await ask(other, make_operation("claim", "x", "x"))
+        assert (await ask(stopped, make_operation("claim", "a", at_s=at_s))).outcome == "granted"
         store.restore_backup(1)
-        if not heard:
+        if not observed:
             store.eras = eras.Eras()
         fresh = bucket(store)
-        assert (await ask(fresh, operation("claim", "b", at_s=at_s))).outcome == verdict
+        assert (await ask(fresh, make_operation("claim", "b", at_s=at_s))).outcome == verdict
         store.eras = eras.Eras()
         later = bucket(store)
         expected = verdict if verdict == "open" else "open"
-        assert (await ask(later, operation("claim", "c", at_s=at_s))).outcome == expected
+        assert (await ask(later, make_operation("claim", "c", at_s=at_s))).outcome == expected
 
     asyncio.run(main())
 
 
-def test_a_claim_written_while_the_store_returned_is_checked():
-    """Guards against a claim that is granted by an acknowledgement of the lost past."""
+def test_claim_written_during_a_restore_is_checked():
+    """Guards against a claim granted by an acknowledged write that the restore has lost."""
 
     async def main():
         store = fake_store.FakeStore()
         writer, other = bucket(store), bucket(store)
-        await ask(writer, operation("claim", "x", "x"))
+        await ask(writer, make_operation("claim", "x", "x"))
         swap = store.swap
 
-        async def lost(expected, puts):
+        async def swap_and_restore(expected, puts):
             revision = await swap(expected, puts)
             store.swap = swap
             store.restore_backup(1)
             store.eras.observe(store.era)
             return revision
 
-        store.swap = lost
+        store.swap = swap_and_restore
         later_s = int(time.time()) + LATER_S
-        assert (await ask(writer, operation("claim", "a", at_s=later_s))).outcome == "granted"
-        assert (await ask(other, operation("claim", "b", at_s=later_s))).outcome == "open"
+        assert (await ask(writer, make_operation("claim", "a", at_s=later_s))).outcome == "granted"
+        assert (await ask(other, make_operation("claim", "b", at_s=later_s))).outcome == "open"
 
     asyncio.run(main())
 
 
-def test_a_store_that_is_down_is_not_asked_without_a_pause():
-    """Guards against each bucket reading its log twenty times a second when nobody waits."""
+def test_calls_to_a_failing_store_back_off():
+    """Guards against each bucket reading its log 20 times per second with no pending operation."""
 
     async def main():
         store = fake_store.FakeStore()
         writer = bucket(store)
-        await ask(writer, operation("claim"))
+        await ask(writer, make_operation("claim"))
         store.down = True
         reads = []
 
@@ -238,19 +240,21 @@
     asyncio.run(main())
 
 
-def test_the_outcome_of_a_lost_claim_is_recorded():
-    """Guards against an answered request that is told to be under way for ever."""
+def test_outcome_of_a_lost_claim_is_recorded():
+    """Guards against an answered request that is reported as in progress forever."""
 
     async def main():
         store = fake_store.FakeStore()
         first, second = bucket(store), bucket(store)
-        await ask(second, operation("claim", "x", "x"))
-        await ask(first, operation("claim", "a"))
+        await ask(second, make_operation("claim", "x", "x"))
+        await ask(first, make_operation("claim", "a"))
         store.eras.on_restore.append(second.reconcile)
         store.restore_backup(1)
         store.eras.observe(store.era)
-        assert (await ask(second, operation("settle", "a", outcome="done"))).outcome == "granted"
-        found = await ask(second, operation("claim", "b"))
+        assert (
+            await ask(second, make_operation("settle", "a", outcome="done"))
+        ).outcome == "granted"
+        found = await ask(second, make_operation("claim", "b"))
         assert (found.outcome, found.detail) == ("settled", "done")
 
     asyncio.run(main())
@@ -258,10 +262,10 @@
 
 class Writers(stateful.RuleBasedStateMachine):
     """
-    Three writers believe to own the same bucket; writes are lost, late or dropped, the store has
-    outages and returns from copies, writers are paused (their memory is old) and restarted. An
-    attempt that was granted would run: no key may ever be granted to two attempts that were not
-    released.
+    Guards against a request that runs twice. Three writers consider themselves the owner of the
+    same bucket; writes are lost, late or dropped, the store has outages and is restored from
+    backups, writers are paused (their state is old) and restarted. A granted attempt would run, so
+    no key may ever be granted to two attempts that were not released.
     """
 
     def __init__(self):
@@ -273,19 +277,19 @@
         self.outcomes = {}
         self.count = 0
 
-    def play(self, writer, wanted):
-        return asyncio.run(ask(self.fresh_loop(writer), wanted, 0.08))
+    def run_operation(self, writer, operation):
+        return asyncio.run(ask(self.reset_writer(writer), operation, 0.08))
 
-    def fresh_loop(self, writer):
+    def reset_writer(self, writer):
         self.writers[writer]._wake = asyncio.Event()
-        self.writers[writer]._waiting.clear()
+        self.writers[writer]._pending.clear()
         return self.writers[writer]
 
     @stateful.rule(writer=strategies.integers(0, 2), key=strategies.sampled_from("xyz"))
     def claim_and_run(self, writer, key):
         self.count += 1
         attempt = f"a{self.count}"
-        verdict = self.play(writer, operation("claim", attempt, key))
+        verdict = self.run_operation(writer, make_operation("claim", attempt, key))
         if verdict.outcome == "granted":
             assert key not in self.ran, f"{key} runs twice"
             self.ran[key] = attempt
@@ -295,32 +299,34 @@
     @stateful.rule(writer=strategies.integers(0, 2), key=strategies.sampled_from("xyz"))
     def settle(self, writer, key):
         if key in self.ran:
-            wanted = operation("settle", self.ran[key], key, outcome=f"done-{key}")
-            self.outcomes[key] = wanted.outcome
-            self.play(writer, wanted)
+            operation = make_operation("settle", self.ran[key], key, outcome=f"done-{key}")
+            self.outcomes[key] = operation.outcome
+            self.run_operation(writer, operation)
 
     @stateful.rule(writer=strategies.integers(0, 2), key=strategies.sampled_from("xyz"))
     def claim_unconfirmed_then_release(self, writer, key):
         self.count += 1
         attempt = f"a{self.count}"
         self.store.plan[:0] = ["lost"]
-        verdict = self.play(writer, operation("claim", attempt, key))
+        verdict = self.run_operation(writer, make_operation("claim", attempt, key))
         if verdict.outcome == "granted":
             self.ran.setdefault(key, attempt)
             assert self.ran[key] == attempt
         elif verdict.outcome == "unavailable":
-            self.play((writer + 1) % 3, operation("release", attempt, key))
+            self.run_operation((writer + 1) % 3, make_operation("release", attempt, key))
 
-    @stateful.rule(fates=strategies.lists(strategies.sampled_from(["lost", "late", "dropped"])))
-    def trouble(self, fates):
-        self.store.plan = fates[:3]
+    @stateful.rule(
+        behaviours=strategies.lists(strategies.sampled_from(["lost", "late", "dropped"]))
+    )
+    def inject_faults(self, behaviours):
+        self.store.plan = behaviours[:3]
 
     @stateful.rule()
-    def late_writes_arrive(self):
+    def deliver_late_writes(self):
         self.store.deliver()
 
     @stateful.rule(down=strategies.booleans())
-    def outage(self, down):
+    def set_outage(self, down):
         self.store.down = down
 
     @stateful.rule(writes=strategies.integers(0, 4))
--- a/tests/records/test_records.py
+++ b/tests/records/test_records.py
@@ -1,4 +1,4 @@
-"""Recording how a claim ended, through moments in which nobody can be asked."""
+"""Tests of settling a claim while no instance is available to record it."""
 
 from __future__ import annotations
 
@@ -11,30 +11,31 @@
 from turmericlug.records import records as records_module
 
 SETTLE = ledger.Operation(ledger.SETTLE, "1-k", "attempt", "print", 1, "outcome")
-NOBODY = ledger.unavailable("no_owner")
+NO_OWNER = ledger.unavailable("no_owner")
 RECORDED = ledger.Verdict(ledger.GRANTED)
 
 
 @pytest.mark.parametrize(
-    ("verdicts", "expected", "asked"),
+    ("verdicts", "expected", "attempts"),
     [
         ([RECORDED], RECORDED, 1),
-        ([NOBODY, RECORDED], RECORDED, 2),
-        ([NOBODY, NOBODY, NOBODY, RECORDED], RECORDED, 4),
-        ([NOBODY], NOBODY, None),
+        ([NO_OWNER, RECORDED], RECORDED, 2),
+        ([NO_OWNER, NO_OWNER, NO_OWNER, RECORDED], RECORDED, 4),
+        ([NO_OWNER], NO_OWNER, None),
     ],
-    ids=["at once", "after a moment", "after some", "never"],
+    ids=["first attempt", "second attempt", "fourth attempt", "never"],
 )
-def test_a_claim_is_settled_once_somebody_can_be_asked(verdicts, expected, asked, monkeypatch):
+def test_settle_retries_until_an_instance_is_available(verdicts, expected, attempts, monkeypatch):
     """
-    A bill is answered, and just then its instance has no link to the one that keeps the key. The
-    outcome was never recorded: each repeat of the key was told that it is in use, for a day.
+    Guards against an outcome that is never recorded: when a billing request is answered, its
+    instance has no link to the owner of the key's bucket. Without retries of the settlement, each
+    repeated request with the key was refused for a day because the key was in use.
     """
     now_s = [0.0]
-    tries = []
+    operations = []
 
     async def ask(records, operation, timeout_s):
-        tries.append(operation)
+        operations.append(operation)
         return next(answers)
 
     async def sleep(duration_s):
@@ -46,7 +47,7 @@
     monkeypatch.setattr(records_module.time, "monotonic", lambda: now_s[0])
     records = records_module.Records.__new__(records_module.Records)
     assert asyncio.run(records.settle(SETTLE)) == expected
-    assert set(tries) == {SETTLE}
-    if asked is not None:
-        assert len(tries) == asked
-    assert now_s[0] <= records_module.SETTLE_FOR_S
+    assert set(operations) == {SETTLE}
+    if attempts is not None:
+        assert len(operations) == attempts
+    assert now_s[0] <= records_module.SETTLE_TOTAL_S
