--- a/src/turmericlug/storage/__init__.py
+++ b/src/turmericlug/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the general key-value store and instance list, by their published protocols."""
+"""Clients of the general key-value store and of the instance list, over published protocols."""
--- a/src/turmericlug/storage/eras.py
+++ b/src/turmericlug/storage/eras.py
@@ -1,8 +1,8 @@
 """
-How often the store has returned from a copy some seconds old.
+Track the store's era: the number of its restores from a backup.
 
-With each return it has lost its latest writes, acknowledged ones as well, and gives their revisions
-out again. It tells the number of returns in its answers, and instances tell each other.
+The backup is some seconds old, so each restore loses the latest writes, acknowledged ones too, and
+their revisions are reused. The store states its era in its responses, and instances exchange it.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 
 class Eras:
-    """The latest era heard of, and whom to tell of a later one."""
+    """The latest known era, and the callbacks for a restore."""
 
     def __init__(self, now_s: abc.Callable[[], float] = time.time) -> None:
         self._now_s = now_s
         self.latest = 0
-        """0: none was told yet."""
+        """0: no era was received yet."""
         self.restored_at_s: float | None = None
-        """Wall-clock time at which the latest return was heard of; ``None``: none so far."""
+        """Wall-clock time at which the latest restore was detected; ``None``: none so far."""
         self.on_restore: list[abc.Callable[[], None]] = []
 
     def observe(self, era: int) -> None:
-        """Take note of the era that an answer or a peer tells."""
+        """Record the era stated by a response or a peer, and run the callbacks after a restore."""
         if era <= self.latest:
             return
         before, self.latest = self.latest, era
@@ -33,5 +33,5 @@
             return
         self.restored_at_s = self._now_s()
         events.emit("store.returned_from_copy", "warning", era=era, before=before)
-        for listener in self.on_restore:
-            listener()
+        for callback in self.on_restore:
+            callback()
--- a/src/turmericlug/storage/instances.py
+++ b/src/turmericlug/storage/instances.py
@@ -1,4 +1,4 @@
-"""Client of the platform's instance list, by the Consul catalogue's health format."""
+"""Client of the platform's instance list, in the health format of the Consul catalogue."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 import attrs
 
 OWN_SERVICE = "turmericlug"
-"""The service under which the platform lists our own daemons."""
+"""The service under which the platform lists this project's daemons."""
 
 
 class InstancesError(Exception):
-    """The instance list gave no usable answer."""
+    """The instance list gave no usable response."""
 
 
 @attrs.frozen
 class ListedInstance:
-    """One instance as the platform lists it; the list lags, so this is a hint."""
+    """An instance in the platform's list; the list lags behind, so an entry is only a hint."""
 
     instance: str
     generation: int
-    """Rises when the instance registers again, as after a restart."""
+    """Increases when the instance registers again, as after a restart."""
     host: str
     port: int
     data_centre: str
@@ -33,22 +33,22 @@
     session: aiohttp.ClientSession, url: str, service: str, timeout_s: float
 ) -> list[ListedInstance]:
     """
-    Read all instances of one service.
+    Read all instances of a service.
 
     :param service: a service of the catalogue, or ``OWN_SERVICE``
-    :raises InstancesError: no answer, or one that is not a list of instances
+    :raises InstancesError: no response, or it is not a list of instances
     """
     try:
         async with asyncio.timeout(timeout_s):
             async with session.get(f"{url}/v1/health/service/{service}") as response:
                 if response.status != 200:
                     raise InstancesError(f"status {response.status}")
-                return [_listed(item) for item in await response.json()]
+                return [_decode_instance(item) for item in await response.json()]
     except (aiohttp.ClientError, OSError, TimeoutError, ValueError, KeyError, TypeError) as error:
         raise InstancesError(type(error).__name__) from error
 
 
-def _listed(item: dict[str, typing.Any]) -> ListedInstance:
+def _decode_instance(item: dict[str, typing.Any]) -> ListedInstance:
     service = item["Service"]
     return ListedInstance(
         instance=service["ID"],
--- a/src/turmericlug/storage/store.py
+++ b/src/turmericlug/storage/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's key-value store, by the etcd v3 HTTP/JSON gateway protocol."""
+"""Client of the platform's key-value store, over the HTTP/JSON gateway protocol of etcd v3."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from turmericlug.telemetry import counters as counters_module
 
 _ERA_HEADER = "Store-Era"
-_ERA_DIGITS = 18
-"""Fits into the 64 bits with which instances tell each other."""
+_MAX_ERA_DIGITS = 18
+"""An era of this length fits into the 64-bit field of the protocol between instances."""
 
 
 class StoreError(Exception):
-    """The store gave no usable answer; ``reason`` is ``timeout``, ``unreachable``, ``refused``."""
+    """No usable response; ``reason`` is ``timeout``, ``unreachable`` or ``refused``."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class Value:
-    """One key as read; ``revision`` is 0 for a key that does not exist."""
+    """A key and its value as read; ``revision`` is 0 for a key that does not exist."""
 
     key: str
     text: str
@@ -38,7 +38,7 @@
 
 
 class Store:
-    """Reads, compare-and-swaps and watches, each counted."""
+    """Reads, compare-and-swaps and watches; each call is counted."""
 
     def __init__(
         self,
@@ -58,36 +58,37 @@
         """
         Read one key, linearizably.
 
-        :raises StoreError: no answer
+        :raises StoreError: no usable response
         """
-        found = await self._call("range", {"key": _pack(key)})
-        values = _values(found)
+        found = await self._call("range", {"key": _encode(key)})
+        values = _decode_values(found)
         return values[0] if values else Value(key, "", 0)
 
     async def read_prefix(self, prefix: str) -> list[Value]:
         """
-        Read every key that starts with a prefix, in order.
+        Read every key with a prefix, in order.
 
-        :raises StoreError: no answer
+        :raises StoreError: no usable response
         """
         end = prefix[:-1] + chr(ord(prefix[-1]) + 1)
-        found = await self._call("range", {"key": _pack(prefix), "range_end": _pack(end)})
-        return _values(found)
+        found = await self._call("range", {"key": _encode(prefix), "range_end": _encode(end)})
+        return _decode_values(found)
 
     async def swap(self, expected: abc.Sequence[Value], puts: dict[str, str]) -> int:
         """
-        Write all keys if each expected key is still as it was read; else write none.
+        Write all keys if each expected key is unchanged since it was read; otherwise write none.
 
-        A store that returns from a copy gives revisions out again: a key with the same revision may
-        hold something else. So contents are compared as well.
+        A store restored from a backup reuses revisions, so a key with the same revision may hold
+        another value. The values are therefore compared as well.
 
         :param expected: values as they were read, with revision 0 for a key that must not exist
-        :returns: the revision that the written keys have now; 0: nothing was written
-        :raises StoreError: no answer; **the write may have taken effect**
+        :returns: the new revision of the written keys; 0: nothing was written
+        :raises StoreError: no usable response; **the write may have taken effect**
         """
-        compare = [each for value in expected for each in _comparisons(value)]
+        compare = [each for value in expected for each in _make_comparisons(value)]
         success = [
-            {"request_put": {"key": _pack(key), "value": _pack(text)}} for key, text in puts.items()
+            {"request_put": {"key": _encode(key), "value": _encode(text)}}
+            for key, text in puts.items()
         ]
         answer = await self._call("txn", {"compare": compare, "success": success})
         if not answer.get("succeeded", False):
@@ -95,37 +96,37 @@
         try:
             return int(answer["header"]["revision"])
         except (KeyError, TypeError, ValueError) as error:
-            raise self._failed(ValueError()) from error
+            raise self._record_error(ValueError()) from error
 
     async def delete(self, key: str) -> None:
         """
-        Remove one key.
+        Delete one key.
 
-        :raises StoreError: no answer; the key may be gone
+        :raises StoreError: no usable response; the key may have been deleted
         """
-        await self._call("deleterange", {"key": _pack(key)})
+        await self._call("deleterange", {"key": _encode(key)})
 
     async def watch(self, prefix: str) -> abc.AsyncIterator[Value]:
         """
-        Yield each write below a prefix, until the stream breaks.
+        Yield each write under a prefix until the stream ends.
 
-        :raises StoreError: the stream could not be opened or broke
+        :raises StoreError: the stream could not be opened, or has ended
         """
         end = prefix[:-1] + chr(ord(prefix[-1]) + 1)
-        body = {"create_request": {"key": _pack(prefix), "range_end": _pack(end)}}
+        body = {"create_request": {"key": _encode(prefix), "range_end": _encode(end)}}
         self._counters.add("store.call.watch")
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=self._timeout_s)
         try:
             async with self._session.post(
                 f"{self._url}/v3/watch", json=body, timeout=timeout
             ) as response:
-                self._hear_era(response)
+                self._observe_era(response)
                 async for line in response.content:
                     for event in json.loads(line).get("result", {}).get("events", []):
-                        yield _value(event["kv"])
+                        yield _decode_value(event["kv"])
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError, KeyError) as error:
-            raise self._failed(error) from error
-        raise self._failed(ConnectionResetError())
+            raise self._record_error(error) from error
+        raise self._record_error(ConnectionResetError())
 
     async def _call(self, operation: str, body: dict[str, typing.Any]) -> dict[str, typing.Any]:
         self._counters.add(f"store.call.{operation}")
@@ -134,19 +135,19 @@
                 async with self._session.post(
                     f"{self._url}/v3/kv/{operation}", json=body
                 ) as response:
-                    self._hear_era(response)
+                    self._observe_era(response)
                     if response.status != 200:
                         raise aiohttp.ClientError(f"status {response.status}")
                     return await response.json(content_type=None)
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
-            raise self._failed(error) from error
+            raise self._record_error(error) from error
 
-    def _hear_era(self, response: aiohttp.ClientResponse) -> None:
-        told = response.headers.get(_ERA_HEADER, "")
-        if told.isascii() and told.isdigit() and len(told) <= _ERA_DIGITS:
-            self.eras.observe(int(told))
+    def _observe_era(self, response: aiohttp.ClientResponse) -> None:
+        era = response.headers.get(_ERA_HEADER, "")
+        if era.isascii() and era.isdigit() and len(era) <= _MAX_ERA_DIGITS:
+            self.eras.observe(int(era))
 
-    def _failed(self, error: BaseException) -> StoreError:
+    def _record_error(self, error: BaseException) -> StoreError:
         if isinstance(error, TimeoutError):
             reason = "timeout"
         elif isinstance(error, OSError):
@@ -164,28 +165,28 @@
     counters: counters_module.Counters,
     eras: eras_module.Eras | None = None,
 ) -> abc.AsyncIterator[Store]:
-    """Hold a client with its few connections for the length of the block."""
+    """Open a client with a small connection pool for the duration of the block."""
     connector = aiohttp.TCPConnector(limit=8)
     async with aiohttp.ClientSession(connector=connector) as session:
         yield Store(session, url, timeout_ms, counters, eras)
 
 
-def _comparisons(value: Value) -> list[dict[str, str]]:
-    same = {"key": _pack(value.key), "result": "EQUAL"}
+def _make_comparisons(value: Value) -> list[dict[str, str]]:
+    same = {"key": _encode(value.key), "result": "EQUAL"}
     found = [same | {"target": "MOD", "mod_revision": str(value.revision)}]
     if value.revision:
-        found.append(same | {"target": "VALUE", "value": _pack(value.text)})
+        found.append(same | {"target": "VALUE", "value": _encode(value.text)})
     return found
 
 
-def _pack(text: str) -> str:
+def _encode(text: str) -> str:
     return base64.b64encode(text.encode()).decode()
 
 
-def _values(answer: dict[str, typing.Any]) -> list[Value]:
-    return [_value(item) for item in answer.get("kvs", [])]
+def _decode_values(answer: dict[str, typing.Any]) -> list[Value]:
+    return [_decode_value(item) for item in answer.get("kvs", [])]
 
 
-def _value(item: dict[str, typing.Any]) -> Value:
+def _decode_value(item: dict[str, typing.Any]) -> Value:
     text = base64.b64decode(item.get("value", "")).decode()
     return Value(base64.b64decode(item["key"]).decode(), text, int(item["mod_revision"]))
--- a/tests/fake_store.py
+++ b/tests/fake_store.py
@@ -1,4 +1,4 @@
-"""The store's fake: compare-and-swap in memory, with outages, lost and late answers."""
+"""In-memory fake of the store with compare-and-swap, outages, lost responses and late writes."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 
 class FakeStore:
-    """Answers like ``store.Store``; the next swaps follow ``plan``."""
+    """Behaves like ``store.Store``; the next swaps follow ``plan``."""
 
     def __init__(self):
         self.values = {}
         self.revision = 0
         self.down = False
         self.plan = []
-        """For each coming swap: ``ok``, ``lost`` (applied, no answer), ``late`` (applied only
-        when ``deliver`` is called), ``dropped`` (never applied)."""
+        """For each coming swap: ``ok``, ``lost`` (applied, no response), ``late`` (applied only
+        when ``deliver`` is called) or ``dropped`` (never applied)."""
         self.delayed = []
         self.swaps = 0
-        self.copies = []
-        """The state before each write, the newest last."""
+        self.backups = []
+        """The state before each write, newest last."""
         self.era = 1
         self.eras = eras_module.Eras()
 
@@ -39,13 +39,13 @@
             raise store_module.StoreError("unreachable")
         self.swaps += 1
         self.eras.observe(self.era)
-        fate = self.plan.pop(0) if self.plan else "ok"
-        if fate == "late":
+        behaviour = self.plan.pop(0) if self.plan else "ok"
+        if behaviour == "late":
             self.delayed.append((expected, puts))
-        if fate in ("late", "dropped"):
+        if behaviour in ("late", "dropped"):
             raise store_module.StoreError("timeout")
         revision = self._apply(expected, puts)
-        if fate == "lost":
+        if behaviour == "lost":
             raise store_module.StoreError("timeout")
         return revision
 
@@ -53,20 +53,20 @@
         for value in expected:
             if self.values.get(value.key, store_module.Value(value.key, "", 0)) != value:
                 return 0
-        self.copies.append((self.revision, dict(self.values)))
+        self.backups.append((self.revision, dict(self.values)))
         self.revision += 1
         for key, text in puts.items():
             self.values[key] = store_module.Value(key, text, self.revision)
         return self.revision
 
     def restore_backup(self, writes):
-        """Lose the latest writes; their revisions are given out again."""
-        for _ in range(min(writes, len(self.copies))):
-            self.revision, self.values = self.copies.pop()
+        """Lose the latest writes; their revisions are reused."""
+        for _ in range(min(writes, len(self.backups))):
+            self.revision, self.values = self.backups.pop()
         self.era += 1
 
     def deliver(self):
-        """Let the late writes arrive."""
+        """Apply the delayed writes."""
         for expected, puts in self.delayed:
             self._apply(expected, puts)
         self.delayed.clear()
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -1,4 +1,4 @@
-"""The client of the general key-value store against the stand-in."""
+"""Tests of the client of the general key-value store, against the stand-in."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @contextlib.asynccontextmanager
 async def connected():
-    """Run the stand-in; yields a client of it, and what sets its behaviour."""
+    """Run the stand-in; yield a client of it, and a function that sets its behaviour."""
     (port,) = fleet_spec.free_ports(1)
     url = f"http://127.0.0.1:{port}"
     serving = asyncio.create_task(standin_platform.serve("127.0.0.1", port))
@@ -55,9 +55,9 @@
         (absent("k"), False),
         (absent("other"), True),
     ],
-    ids=["as read", "older revision", "other content", "taken for absent", "absent"],
+    ids=["as read", "other revision", "other value", "expected absent", "absent"],
 )
-def test_a_swap_needs_the_key_as_it_was_read(expected, written):
+def test_swap_requires_the_key_as_it_was_read(expected, written):
     async def main():
         async with connected() as (store, _):
             assert await store.swap([absent("k")], {"k": "a"}) == 1
@@ -67,8 +67,8 @@
     asyncio.run(main())
 
 
-def test_a_key_that_holds_something_else_under_the_same_revision_is_not_swapped():
-    """Guards against a swap of what a store that returned from a copy has written anew."""
+def test_swap_fails_for_another_value_with_the_same_revision():
+    """Guards against a swap of a key rewritten with a reused revision after a restore."""
 
     async def main():
         async with connected() as (store, control):
