--- a/src/turmericlug/platform/decode.py
+++ b/src/turmericlug/platform/decode.py
@@ -2,8 +2,8 @@
 Decode the values of the platform's keys into this project's types.
 
 Other writers can write to the replicas' keys too. An entry with a field that deviates from the
-published format is rejected as a whole: its address may belong to a service other than the replica,
-and requests would be sent there.
+published format is rejected as a whole: its address may not be a replica's, and requests would be
+sent to whatever listens there.
 """
 
 from __future__ import annotations
--- a/src/turmericlug/platform/store.py
+++ b/src/turmericlug/platform/store.py
@@ -77,11 +77,12 @@
 
     async def read_all(self, may_be_stale: bool) -> news.Snapshot:
         """
-        Read all keys, page by page; the snapshot's revision is that of its oldest page.
+        Read all keys, page by page; changes are followed from the revision of the oldest page.
 
         Stale pages lag by different amounts, so any of them can be the oldest. After the store was
-        restored from a backup, stale pages may still show writes that were lost. So the operators'
-        keys are read again without staleness, and everything is if those are at an older position.
+        restored from a backup, stale pages may still show writes that were lost. The operators'
+        keys are therefore read again without staleness; if these are at an older position than the
+        snapshot, all keys are.
 
         :raises SourceError: no usable response
         """
--- a/tests/records/test_ledger.py
+++ b/tests/records/test_ledger.py
@@ -79,8 +79,8 @@
     async def main():
         store = fake_store.FakeStore()
         writer = bucket(store)
-        asked = [writer.ask(make_operation("claim", f"a{n}", f"k{n}")) for n in range(100)]
-        tasks = [asyncio.create_task(each) for each in asked]
+        calls = [writer.ask(make_operation("claim", f"a{n}", f"k{n}")) for n in range(100)]
+        tasks = [asyncio.create_task(each) for each in calls]
         await asyncio.sleep(0)
         running = asyncio.create_task(writer.run())
         verdicts = await asyncio.gather(*tasks)
@@ -137,8 +137,8 @@
         ("claim", make_operation("claim", "b", at_s=NOW_S + LATER_S), "open"),
     ],
 )
-@pytest.mark.parametrize("asked", ["the same writer", "another writer", "a new writer"])
-def test_lost_record_is_written_again_by_a_writer_that_knows_it(last, again, verdict, asked):
+@pytest.mark.parametrize("claimant", ["the same writer", "another writer", "a new writer"])
+def test_lost_record_is_written_again_by_a_writer_that_knows_it(last, again, verdict, claimant):
     """Guards against a request that runs twice because the store lost its first record."""
 
     async def main():
@@ -158,7 +158,7 @@
                 await asyncio.sleep(0.001)
         running.cancel()
         writers = {"the same writer": first, "another writer": second, "a new writer": None}
-        found = await ask(writers[asked] or bucket(store), again)
+        found = await ask(writers[claimant] or bucket(store), again)
         assert found.outcome == verdict
 
     asyncio.run(main())
@@ -318,7 +318,7 @@
     @stateful.rule(
         behaviours=strategies.lists(strategies.sampled_from(["lost", "late", "dropped"]))
     )
-    def inject_faults(self, behaviours):
+    def trigger_faults(self, behaviours):
         self.store.plan = behaviours[:3]
 
     @stateful.rule()
@@ -326,7 +326,7 @@
         self.store.deliver()
 
     @stateful.rule(down=strategies.booleans())
-    def set_outage(self, down):
+    def outage(self, down):
         self.store.down = down
 
     @stateful.rule(writes=strategies.integers(0, 4))
