--- a/tests/rules/test_repository.py
+++ b/tests/rules/test_repository.py
@@ -83,7 +83,7 @@
             await repo.edit(change(f"e{number}", "add", name))
         documents = (await repo.read()).documents
         repo.documents_in_force = lambda: documents
-        store.return_from_copy(lost)
+        store.restore_backup(lost)
         assert await repo.edit(change("e2", "add", "c")) == repository.Stored(4)
         contents = await repository.Repository(store, "t/").read()
         assert {rule.name for rule in contents.rules.rules} == {"a", "b", "c"}
