--- a/src/turmericlug/entry/listeners.py
+++ b/src/turmericlug/entry/listeners.py
@@ -10,9 +10,9 @@
 import socket
 from collections import abc
 
-from turmericlug.entry import beliefs
+from turmericlug.entry import batches
 from turmericlug.entry import directory as directory_module
-from turmericlug.entry import helping
+from turmericlug.entry import inspection
 from turmericlug.entry import metrics
 from turmericlug.entry import relay
 from turmericlug.entry import suspects
@@ -83,7 +83,7 @@
 
 def _operators_handler(kernel: Kernel) -> messages.Handler:
     serve_metrics = metrics.handler(kernel.find("counters"))
-    serve_inspection = beliefs.handler(
+    serve_inspection = inspection.handler(
         kernel.find("settings").entry.name,
         kernel.find("view"),
         lambda: ready(kernel),
@@ -99,7 +99,7 @@
 
 
 def _peers_handler(kernel: Kernel) -> messages.Handler:
-    run_batch = helping.handler(kernel.find("sender"))
+    run_batch = batches.handler(kernel.find("sender"))
     serve_updates = relay.handler(
         kernel.find("journal"), kernel.find("view").source_age_s, kernel.find("relayed").attendance
     )
--- a/tests/direct/test_handover.py
+++ b/tests/direct/test_handover.py
@@ -13,7 +13,7 @@
 from turmericlug.direct import attempts
 from turmericlug.direct import handover
 from turmericlug.direct import handover_codec
-from turmericlug.entry import helping
+from turmericlug.entry import batches
 from turmericlug.http1 import client
 from turmericlug.http1 import messages
 
@@ -223,7 +223,7 @@
         batch = attrs.evolve(handing.BATCH, request_id=request_id, shards=("x",), again=again)
         body = handover_codec.encode_batch(batch)
         request = messages.Request(b"POST", handover.PATH, (), body, now_s)
-        answer = await helping.handler(sender)(request)
+        answer = await batches.handler(sender)(request)
         chunks = [handover_codec.decode_answer(each, ("x",)) async for each in answer.chunks]
         assert chunks[0].failures["x"].may_have_run
         return [name for name, each in replicas.items() for _ in each.requests]
@@ -258,7 +258,7 @@
         batch = attrs.evolve(handing.BATCH, shards=("x",), again=False)
         body = handover_codec.encode_batch(batch)
         request = messages.Request(b"POST", handover.PATH, (), body, now_s)
-        answer = await helping.handler(sender)(request)
+        answer = await batches.handler(sender)(request)
         async for _ in answer.chunks:
             pass
         await sender.tasks.close()
@@ -361,7 +361,7 @@
 
     async def main():
         peer_replicas = handing.scripts()
-        handle = helping.handler(handing.make_sender(peer_replicas))
+        handle = batches.handler(handing.make_sender(peer_replicas))
         body = handover_codec.encode_batch(handing.BATCH)
         request = messages.Request(b"POST", handover.PATH, (), body, 0.0, stalled_s=0.2)
         answer = await handle(request)
--- a/tests/direct/test_regions.py
+++ b/tests/direct/test_regions.py
@@ -15,7 +15,7 @@
 from turmericlug.direct import replicas as replicas_module
 from turmericlug.direct import sending
 from turmericlug.direct import trial
-from turmericlug.entry import helping
+from turmericlug.entry import batches
 from turmericlug.http1 import messages
 from turmericlug.policy import poison
 from turmericlug.policy import warm_up
@@ -146,7 +146,7 @@
         content = handover_codec.encode_batch(batch)
         now_s = asyncio.get_running_loop().time()
         request = messages.Request(b"POST", b"/parts", ((b"host", b"h"),), content, now_s)
-        answer = await helping.handler(sender)(request)
+        answer = await batches.handler(sender)(request)
         async for _ in answer.chunks:
             pass
         await sender.tasks.close()
--- a/tests/entry/test_beliefs.py
+++ b/tests/entry/test_inspection.py
@@ -13,7 +13,7 @@
 from turmericlug.direct import quarantine as quarantine_module
 from turmericlug.direct import replicas as replicas_module
 from turmericlug.direct import routes
-from turmericlug.entry import beliefs
+from turmericlug.entry import inspection
 from turmericlug.entry import source
 from turmericlug.entry import view as view_module
 from turmericlug.http1 import messages
@@ -53,7 +53,7 @@
         for number, request in enumerate(withheld):
             for replica in ("r1", "r2", "r3"):
                 quarantine.table.record_crash(request, replica, loop.time(), on_trial=bool(number))
-        handle = beliefs.handler("e-1", view, lambda: view.ready, quarantine)
+        handle = inspection.handler("e-1", view, lambda: view.ready, quarantine)
         answer = await handle(messages.Request(method, target, (), b"", 0.0))
         return answer.status, json.loads(answer.body) if answer.status == 200 else None
 
--- a/tests/handing.py
+++ b/tests/handing.py
@@ -15,7 +15,7 @@
 from turmericlug.direct import pool as pool_module
 from turmericlug.direct import replicas as replicas_module
 from turmericlug.direct import routes
-from turmericlug.entry import helping
+from turmericlug.entry import batches
 from turmericlug.http1 import client
 from turmericlug.http1 import messages
 from turmericlug.http1 import server
@@ -115,7 +115,7 @@
 
     async def handle(request):
         if "handler" not in holder:
-            holder["handler"] = helping.handler(make_sender(replicas))
+            holder["handler"] = batches.handler(make_sender(replicas))
         return await holder["handler"](request)
 
     return handle
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -139,7 +139,7 @@
     ),
     mutant.one(
         "run-old-batches",
-        "entry/helping.py",
+        "entry/batches.py",
         "if stalled_s > MAX_STALL_S:",
         "if stalled_s < 0:",
         "direct/test_handover.py::test_a_batch_that_may_be_old_is_refused",
@@ -182,7 +182,7 @@
     ),
     mutant.one(
         "answer-without-known-replicas",
-        "entry/helping.py",
+        "entry/batches.py",
         "    if unknown > MAX_UNKNOWN_SHARE * len(batch.shards):",
         "    if False:",
         "direct/test_handover.py::test_a_peer_that_does_not_know_the_replicas_yet",
@@ -603,7 +603,7 @@
     ),
     mutant.one(
         "hand-over-without-regions",
-        "entry/helping.py",
+        "entry/batches.py",
         "        regions=batch.regions,\n",
         "",
         "direct/test_regions.py::test_a_peer_respects_the_regions_of_a_batch",
