--- a/src/turmericlug/operators/trace.py
+++ b/src/turmericlug/operators/trace.py
@@ -24,7 +24,7 @@
     cause: str
     deciding: Line | None
     """The line that names the cause."""
-    beliefs: tuple[str, ...]
+    known_state: tuple[str, ...]
     """What the instance that answered believed then, and how old that was."""
 
 
@@ -143,5 +143,5 @@
         yield f"{mark} {line['time_s']:.4f} {line['instance']} {line['event']} {details}"
     yield f"outcome: {found.outcome}"
     yield f"cause: {found.cause}"
-    for belief in found.beliefs:
+    for belief in found.known_state:
         yield f"believed: {belief}"
--- a/tests/integration/test_entry.py
+++ b/tests/integration/test_entry.py
@@ -306,7 +306,7 @@
         assert answer.status == status
         await entry_process.until(lambda: _traced(instance).outcome == outcome)
         assert cause in _traced(instance).cause
-        assert "configuration version 1" in _traced(instance).beliefs[0]
+        assert "configuration version 1" in _traced(instance).known_state[0]
 
     play(tmp_path, scenario)
 
--- a/tests/operators/test_trace.py
+++ b/tests/operators/test_trace.py
@@ -60,7 +60,7 @@
 
 def test_beliefs_carry_their_age():
     found = trace.trace([START, VERSION, LOST, ROUTED, line("query.failed", reason="x")], "q")
-    assert found.beliefs == (
+    assert found.known_state == (
         "configuration version 7, known for 3.000 s",
         "store not answering for 2.000 s",
     )
