--- a/src/turmericlug/operators/entry_commands.py
+++ b/src/turmericlug/operators/entry_commands.py
@@ -1,4 +1,4 @@
-"""``turmericlug entry``: questions to a running entry instance, on its metrics address."""
+"""``turmericlug entry``: inspect a running entry instance through its metrics address."""
 
 from __future__ import annotations
 
@@ -11,77 +11,79 @@
 
 commands = typer.Typer(
     no_args_is_help=True,
-    help="Ask an entry instance what it believes; --url is its metrics address.",
+    help="Inspect a running entry instance; --url is its metrics address.",
 )
 
-Plain = dict[str, typing.Any]
+Json = dict[str, typing.Any]
 EXIT_NO_ROUTE = 1
 
 
 @commands.command()
 def status(context: typer.Context) -> None:
-    """Show configuration, source, instances and replicas as the instance believes them."""
-    answer = context.obj.call("GET", "/status")
-    context.obj.show(answer, _print_status)
+    """Show the configuration, source, instances and replicas as the instance knows them."""
+    response = context.obj.call("GET", "/status")
+    context.obj.show(response, _print_status)
 
 
-def _print_status(answer: Plain) -> None:
-    state = "ready" if answer["ready"] else "NOT ready"
-    typer.echo(f"{answer['instance']}: {state}, {_believed(answer)}")
-    typer.echo(f"instances: {', '.join(answer['instances'])}")
+def _print_status(response: Json) -> None:
+    state = "ready" if response["ready"] else "NOT ready"
+    typer.echo(f"{response['instance']}: {state}, {_format_configuration(response)}")
+    typer.echo(f"instances: {', '.join(response['instances'])}")
     for title in ("replicas", "connections"):
-        told = ", ".join(f"{count} {what}" for what, count in answer[title].items())
-        typer.echo(f"{title}: {told or 'none'}")
-    for data_centre, age_s in answer["evacuated_age_s"].items():
+        summary = ", ".join(f"{count} {kind}" for kind, count in response[title].items())
+        typer.echo(f"{title}: {summary or 'none'}")
+    for data_centre, age_s in response["evacuated_age_s"].items():
         typer.echo(f"evacuated: {data_centre}, for {age_s} s")
-    if answer["cold_left_s"]:
-        typer.echo(f"cold: {len(answer['cold_left_s'])} replicas")
+    if response["cold_left_s"]:
+        typer.echo(f"cold: {len(response['cold_left_s'])} replicas")
 
 
-def _believed(answer: Plain) -> str:
-    age_s = answer["source_age_s"]
-    heard = "never heard from the store" if age_s is None else f"news {age_s} s old"
-    return f"configuration version {answer['configuration_version']}, {heard}"
+def _format_configuration(response: Json) -> str:
+    age_s = response["source_age_s"]
+    last_update = (
+        "nothing received from the store" if age_s is None else f"last update {age_s} s ago"
+    )
+    return f"configuration version {response['configuration_version']}, {last_update}"
 
 
 @commands.command()
 def explain(
     context: typer.Context,
-    host: typing.Annotated[str, typer.Argument(help="Host that the caller asks for.")],
-    path: typing.Annotated[str, typer.Argument(help="Path of the request, from /.")],
+    host: typing.Annotated[str, typer.Argument(help="Host of the request.")],
+    path: typing.Annotated[str, typer.Argument(help="Path of the request, starting with /.")],
 ) -> None:
-    """Show the route that a request would take and how its replicas stand, best first."""
-    query = urllib.parse.urlencode({"host": host, "path": path})
-    answer = context.obj.call("GET", f"/explain?{query}")
-    context.obj.show(answer, _print_explanation)
-    if answer["route"] is None:
+    """Show the route of a request and the state of its replicas, preferred ones first."""
+    parameters = urllib.parse.urlencode({"host": host, "path": path})
+    response = context.obj.call("GET", f"/explain?{parameters}")
+    context.obj.show(response, _print_explanation)
+    if response["route"] is None:
         raise typer.Exit(EXIT_NO_ROUTE)
 
 
-def _print_explanation(answer: Plain) -> None:
-    typer.echo(_believed(answer))
-    route = answer["route"]
+def _print_explanation(response: Json) -> None:
+    typer.echo(_format_configuration(response))
+    route = response["route"]
     if route is None:
         typer.echo("no route matches")
         return
-    wanted = ("timeout_ms", "goal_ms", "priority", "max_attempts", "idempotent")
-    told = ", ".join(f"{key} = {route[key]}" for key in wanted)
-    typer.echo(f"route {route['name']}, prefix {route['prefix']}: {told}")
+    shown_fields = ("timeout_ms", "goal_ms", "priority", "max_attempts", "idempotent")
+    summary = ", ".join(f"{key} = {route[key]}" for key in shown_fields)
+    typer.echo(f"route {route['name']}, prefix {route['prefix']}: {summary}")
     columns = ["service", "replica", "data centre", "state", "sends", "expected ms"]
     keys = ("service", "replica", "data_centre", "state", "sends", "expected_ms")
-    tables.show("Replicas", columns, ([each[key] for key in keys] for each in answer["replicas"]))
+    tables.show("Replicas", columns, ([each[key] for key in keys] for each in response["replicas"]))
 
 
 @commands.command()
 def quarantine(context: typer.Context) -> None:
-    """Show the requests that are held back, as replicas ended under them."""
-    answer = context.obj.call("GET", "/quarantine")
-    context.obj.show(answer, _print_quarantine)
+    """Show the requests that are withheld because replicas crashed while running them."""
+    response = context.obj.call("GET", "/quarantine")
+    context.obj.show(response, _print_quarantine)
 
 
-def _print_quarantine(answer: Plain) -> None:
-    if not answer["requests"]:
-        typer.echo("no request is held back")
+def _print_quarantine(response: Json) -> None:
+    if not response["requests"]:
+        typer.echo("no request is withheld")
         return
     rows = (
         [
@@ -89,7 +91,7 @@
             each["verdict"],
             ", ".join(f"{name} {age_s} s ago" for name, age_s in each["ends"].items()),
         ]
-        for each in answer["requests"]
+        for each in response["requests"]
     )
     tables.show("Requests", ["content", "verdict", "replicas that ended"], rows)
 
@@ -97,8 +99,10 @@
 @commands.command()
 def lift(
     context: typer.Context,
-    content: typing.Annotated[str, typer.Argument(help="Content as `quarantine` shows it.")],
+    content: typing.Annotated[
+        str, typer.Argument(help="Content of the request, as `quarantine` shows it.")
+    ],
 ) -> None:
-    """Allow a request that is held back, at all instances."""
-    answer = context.obj.call("POST", f"/quarantine/{urllib.parse.quote(content, safe='')}")
-    context.obj.show(answer, lambda told: typer.echo(f"allowed: {told['lifted']}"))
+    """Allow a withheld request again, on all instances."""
+    response = context.obj.call("POST", f"/quarantine/{urllib.parse.quote(content, safe='')}")
+    context.obj.show(response, lambda body: typer.echo(f"allowed: {body['lifted']}"))
--- a/src/turmericlug/operators/http.py
+++ b/src/turmericlug/operators/http.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface: rules, catalogue, status, drain; each call with a token."""
+"""The operators' HTTP interface: rules, catalogue, status, drain; authenticated by a token."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 from turmericlug.wire import server as server_module
 
 _STATUS_TIMEOUT_S = 1.0
-_MOST_BYTES = 1 << 20
+_MAX_BODY_BYTES = 1 << 20
 _EDIT_ID = re.compile(r"[A-Za-z0-9._-]{1,64}\Z")
 
 Handler = abc.Callable[[web.Request], abc.Awaitable[web.StreamResponse]]
 
 
 class OperatorsHttp:
-    """Handlers of the operators' port."""
+    """Request handlers of the operators' port."""
 
     def __init__(
         self,
@@ -58,8 +58,10 @@
         self._drain = drain
 
     def application(self) -> web.Application:
-        """Build the routes."""
-        application = web.Application(client_max_size=_MOST_BYTES, middlewares=[self._guard])
+        """Build the web application with its routes."""
+        application = web.Application(
+            client_max_size=_MAX_BODY_BYTES, middlewares=[self._authenticate]
+        )
         router = application.router
         router.add_get("/v1/rules", self._list)
         router.add_post("/v1/rules/check", self._check)
@@ -74,21 +76,23 @@
         return application
 
     @web.middleware
-    async def _guard(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        given = request.headers.get("Authorization", "")
-        wanted = f"Bearer {self._settings.instance.operators_token}"
-        if not hmac.compare_digest(given.encode(), wanted.encode()):
-            return _problem(401, "a bearer token is needed, operators_token of the settings")
+    async def _authenticate(self, request: web.Request, handler: Handler) -> web.StreamResponse:
+        received = request.headers.get("Authorization", "")
+        expected = f"Bearer {self._settings.instance.operators_token}"
+        if not hmac.compare_digest(received.encode(), expected.encode()):
+            return _error_response(
+                401, "missing or wrong bearer token: send operators_token of the settings"
+            )
         try:
             return await handler(request)
         except web.HTTPException as error:
-            return _problem(error.status, error.reason)
-        except _BadCallError as error:
-            return _problem(400, *error.problems)
+            return _error_response(error.status, error.reason)
+        except _BadRequestError as error:
+            return _error_response(400, *error.problems)
         except (ValueError, TypeError) as error:
-            return _problem(400, f"malformed: {error}")
+            return _error_response(400, f"malformed: {error}")
         except repository_module.RepositoryError as error:
-            return _problem(503, f"the store does not answer ({error}); try again")
+            return _error_response(503, f"the store does not answer ({error}); try again")
 
     async def _list(self, request: web.Request) -> web.Response:
         document = self._config.rules
@@ -96,9 +100,11 @@
         return web.json_response({"revision": document.revision, "rules": rules})
 
     async def _check(self, request: web.Request) -> web.Response:
-        text = _text_of(await _body(request), "text")
-        rules = _rules_of(text)
-        document = [rule for rule in self._config.rules.rules if rule.name not in _names(rules)]
+        text = _string_field(await _read_json_object(request), "text")
+        rules = _parse_rules(text)
+        document = [
+            rule for rule in self._config.rules.rules if rule.name not in _rule_names(rules)
+        ]
         self._check_order([*document, *rules], text)
         return web.json_response({"valid": True, "rules": [rule.name for rule in rules]})
 
@@ -108,36 +114,40 @@
                 rules, self._config.catalog, parser_module.line_numbers(text)
             )
         except parser_module.RulesError as error:
-            raise _BadCallError(str(error).splitlines()) from error
+            raise _BadRequestError(str(error).splitlines()) from error
 
     async def _edit(self, request: web.Request) -> web.Response:
-        plain = await _body(request)
-        change = _change(plain)
+        body = await _read_json_object(request)
+        change = _parse_change(body)
         outcome = await self._repository.edit(change)
         self._counters.add(f"rules.edit.{type(outcome).__name__.lower()}")
         events.emit("rules.edit", edit=change.edit, outcome=type(outcome).__name__.lower())
         match outcome:
             case repository_module.Stored(revision=revision):
-                return await self._accepted(configuration.RULES, revision, edit=change.edit)
+                return await self._stored_response(configuration.RULES, revision, edit=change.edit)
             case edits.Conflict():
-                who = f"{outcome.operator} did {outcome.operation} {outcome.rule} in revision"
+                conflicting_edit = (
+                    f"{outcome.operator} did {outcome.operation} {outcome.rule} in revision"
+                )
                 return web.json_response(
                     {
                         "outcome": "conflict",
                         "edit": change.edit,
-                        "problems": [f"{who} {outcome.revision}; look again, then repeat"],
+                        "problems": [
+                            f"{conflicting_edit} {outcome.revision}; review it, then repeat"
+                        ],
                         "with": attrs.asdict(_ConflictView(outcome.operator, outcome.rule)),
                     },
                     status=409,
                 )
             case repository_module.Rejected(problems=problems):
-                lines = parser_module.line_numbers(str(plain.get("text", "")))
-                problems = [_with_line(problem, lines) for problem in problems]
+                lines = parser_module.line_numbers(str(body.get("text", "")))
+                problems = [_add_line_number(problem, lines) for problem in problems]
                 return web.json_response(
                     {"outcome": "rejected", "edit": change.edit, "problems": problems}, status=422
                 )
             case repository_module.Unknown(reason=reason):
-                problem = f"the store did not answer ({reason}): it may be stored or not; repeat"
+                problem = f"the store did not answer ({reason}): the edit may be stored; repeat it"
                 return web.json_response(
                     {
                         "outcome": "unknown",
@@ -147,14 +157,16 @@
                     status=503,
                 )
 
-    async def _accepted(self, document: str, revision: int, **fields: typing.Any) -> web.Response:
+    async def _stored_response(
+        self, document: str, revision: int, **fields: typing.Any
+    ) -> web.Response:
         """
-        Answer a stored document: accepted once in force everywhere, else who is waited for.
+        Report a stored document as accepted, or name the instances where it is not yet in force.
 
-        This instance counts like any other: when the store fails between the write and the next
+        This instance counts like any other: if the store fails between the write and the next
         read, it still answers callers by the older revision.
 
-        :param fields: what the answer says besides
+        :param fields: additional fields of the response
         """
         await self._distribution.refresh()
         waiting = await self._distribution.distribute({document})
@@ -172,26 +184,28 @@
         )
 
     async def _confirm(self, request: web.Request) -> web.Response:
-        """Ask again whether what is stored is in force everywhere."""
+        """Check again whether the stored rules are in force everywhere."""
         if not await self._distribution.refresh():
             raise repository_module.RepositoryError("unreachable")
-        return await self._accepted(configuration.RULES, self._config.rules.revision, edit="")
+        return await self._stored_response(
+            configuration.RULES, self._config.rules.revision, edit=""
+        )
 
     async def _explain(self, request: web.Request) -> web.Response:
-        plain = await _body(request)
-        wanted = model.Request(
-            service=str(plain.get("service", "")),
-            caller=str(plain.get("caller", "")),
-            data_centre=str(plain.get("data_centre", "")),
-            priority=int(plain.get("priority", model.DEFAULT_PRIORITY)),
-            headers={str(k).lower(): str(v) for k, v in dict(plain.get("headers", {})).items()},
+        body = await _read_json_object(request)
+        rule_request = model.Request(
+            service=str(body.get("service", "")),
+            caller=str(body.get("caller", "")),
+            data_centre=str(body.get("data_centre", "")),
+            priority=int(body.get("priority", model.DEFAULT_PRIORITY)),
+            headers={str(k).lower(): str(v) for k, v in dict(body.get("headers", {})).items()},
         )
         document = self._config.rules
         steps = [
             {"rule": name, "matches": not reason, "because": reason}
-            for name, reason in document.explain(wanted)
+            for name, reason in document.explain(rule_request)
         ]
-        treatment = attrs.asdict(document.match(wanted))
+        treatment = attrs.asdict(document.match(rule_request))
         return web.json_response(
             {"revision": document.revision, "steps": steps, "treatment": treatment}
         )
@@ -211,11 +225,11 @@
         outcome = await self._repository.put_catalog((await request.read()).decode())
         match outcome:
             case repository_module.Stored(revision=revision):
-                return await self._accepted(configuration.CATALOG, revision)
+                return await self._stored_response(configuration.CATALOG, revision)
             case repository_module.Rejected(problems=problems):
                 return web.json_response({"outcome": "rejected", "problems": problems}, status=422)
             case _:
-                return _problem(503, "the store did not answer: repeat the same call")
+                return _error_response(503, "the store did not answer: repeat the same request")
 
     async def _start_drain(self, request: web.Request) -> web.Response:
         self._drain()
@@ -224,8 +238,8 @@
     async def _status(self, request: web.Request) -> web.Response:
         members = self._detector.members
         peers = [] if "own" in request.query else members.peers()
-        answers = await asyncio.gather(*(self._ask_status(each) for each in peers))
-        instances = [self.own_status(), *answers]
+        peer_statuses = await asyncio.gather(*(self._fetch_status(each) for each in peers))
+        instances = [self.own_status(), *peer_statuses]
         return web.json_response(
             {
                 "asked": self._settings.instance.name,
@@ -239,21 +253,21 @@
             }
         )
 
-    async def _ask_status(self, member: typing.Any) -> dict[str, typing.Any]:
-        unreached = {"instance": member.instance, "state": member.state, "reached": False}
+    async def _fetch_status(self, member: typing.Any) -> dict[str, typing.Any]:
+        not_reached = {"instance": member.instance, "state": member.state, "reached": False}
         link = self._detector.mesh.link(member.instance)
         if link is None:
-            return unreached
+            return not_reached
         try:
             reply = await link.ask(
                 lambda envelope: setattr(envelope, "status", None), _STATUS_TIMEOUT_S
             )
         except link_module.LinkError:
-            return unreached
-        return json.loads(reply.statusReply) if reply.which() == "statusReply" else unreached
+            return not_reached
+        return json.loads(reply.statusReply) if reply.which() == "statusReply" else not_reached
 
     def own_status(self) -> dict[str, typing.Any]:
-        """Describe this instance."""
+        """Return the status of this instance."""
         own = self._detector.members.own
         return {
             "instance": own.instance,
@@ -295,7 +309,7 @@
         }
 
     def on_status(self, request: server_module.Request) -> None:
-        """Describe this instance to a peer."""
+        """Send the status of this instance to a peer."""
         text = json.dumps(self.own_status())
         request.reply(lambda envelope: setattr(envelope, "statusReply", text))
 
@@ -306,78 +320,80 @@
     rule: str
 
 
-class _BadCallError(Exception):
+class _BadRequestError(Exception):
     def __init__(self, problems: list[str]) -> None:
         super().__init__("; ".join(problems))
         self.problems = problems
 
 
-def _problem(status: int, *problems: str) -> web.Response:
+def _error_response(status: int, *problems: str) -> web.Response:
     return web.json_response({"outcome": "rejected", "problems": list(problems)}, status=status)
 
 
-def _with_line(problem: str, lines: dict[str, int]) -> str:
-    """Name the line of the rule that a problem begins with."""
+def _add_line_number(problem: str, lines: dict[str, int]) -> str:
+    """Prefix a problem with the line number of the rule that it begins with."""
     line = lines.get(problem.partition(":")[0])
     return f"line {line}: {problem}" if line else problem
 
 
-async def _body(request: web.Request) -> dict[str, typing.Any]:
+async def _read_json_object(request: web.Request) -> dict[str, typing.Any]:
     try:
-        plain = await request.json()
+        body = await request.json()
     except ValueError as error:
-        raise _BadCallError([f"not JSON: {error}"]) from error
-    if not isinstance(plain, dict):
-        raise _BadCallError(["must be an object"])
-    return plain
+        raise _BadRequestError([f"the body is not valid JSON: {error}"]) from error
+    if not isinstance(body, dict):
+        raise _BadRequestError(["the body must be a JSON object"])
+    return body
 
 
-def _text_of(plain: dict[str, typing.Any], key: str, default: str = "") -> str:
-    value = plain.get(key, default)
+def _string_field(body: dict[str, typing.Any], key: str, default: str = "") -> str:
+    value = body.get(key, default)
     if not isinstance(value, str):
-        raise _BadCallError([f"{key} must be a text"])
+        raise _BadRequestError([f"{key} must be a string"])
     return value
 
 
-def _rules_of(text: str) -> list[model.Rule]:
+def _parse_rules(text: str) -> list[model.Rule]:
     try:
         return parser_module.parse(text)
     except parser_module.RulesError as error:
-        raise _BadCallError(str(error).splitlines()) from error
+        raise _BadRequestError(str(error).splitlines()) from error
 
 
-def _names(rules: list[model.Rule]) -> set[str]:
+def _rule_names(rules: list[model.Rule]) -> set[str]:
     return {rule.name for rule in rules}
 
 
-def _change(plain: dict[str, typing.Any]) -> edits.Change:
-    """Turn a call into an edit, checked as far as it can be without the store."""
-    operation = _text_of(plain, "operation")
+def _parse_change(body: dict[str, typing.Any]) -> edits.Change:
+    """Parse the body of an edit request, with all checks that need no access to the store."""
+    operation = _string_field(body, "operation")
     if operation not in (edits.ADD, edits.MOVE, edits.REPLACE, edits.RETIRE):
-        raise _BadCallError([f"operation must be add, move, replace or retire, not {operation!r}"])
-    edit = _text_of(plain, "edit") or secrets.token_hex(8)
+        raise _BadRequestError(
+            [f"operation must be add, move, replace or retire, not {operation!r}"]
+        )
+    edit = _string_field(body, "edit") or secrets.token_hex(8)
     if not _EDIT_ID.match(edit):
-        raise _BadCallError(["edit must be 1 to 64 letters, digits, '.', '_' or '-'"])
-    base = plain.get("base", 0)
+        raise _BadRequestError(["edit must be 1 to 64 letters, digits, '.', '_' or '-'"])
+    base = body.get("base", 0)
     if not isinstance(base, int):
-        raise _BadCallError(["base must be a revision number"])
+        raise _BadRequestError(["base must be a revision number"])
     rule = None
-    name = _text_of(plain, "name")
+    name = _string_field(body, "name")
     if operation in (edits.ADD, edits.REPLACE):
-        rules = _rules_of(_text_of(plain, "text"))
+        rules = _parse_rules(_string_field(body, "text"))
         if len(rules) != 1:
-            raise _BadCallError([f"text must hold one rule, not {len(rules)}"])
+            raise _BadRequestError([f"text must contain one rule, not {len(rules)}"])
         rule = rules[0]
         if name and name != rule.name:
-            raise _BadCallError([f"the text holds rule {rule.name}, not {name}"])
+            raise _BadRequestError([f"text contains rule {rule.name}, but name is {name}"])
         name = rule.name
     return edits.Change(
         edit=edit,
-        operator=_text_of(plain, "operator", "unnamed"),
+        operator=_string_field(body, "operator", "unnamed"),
         operation=operation,
         name=name,
         base=base,
         rule=rule,
-        before=_text_of(plain, "before"),
-        after=_text_of(plain, "after"),
+        before=_string_field(body, "before"),
+        after=_string_field(body, "after"),
     )
--- a/src/turmericlug/operators/losses.py
+++ b/src/turmericlug/operators/losses.py
@@ -1,4 +1,4 @@
-"""Which goals were missed and which requests were lost, when, on which route and why."""
+"""Which requests missed their latency goal or were lost: by route, by time and by cause."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 PARTIAL = "partial"
 REFUSED = "refused"
 FAILED = "failed"
-LEFT = "caller left"
+CALLER_LEFT = "caller left"
 CUT = "cut off"
-OUTCOMES = (IN_TIME, PARTIAL, LATE, REFUSED, FAILED, LEFT, CUT)
-"""A partial answer in time is ``PARTIAL``; one after its goal is ``LATE``."""
+OUTCOMES = (IN_TIME, PARTIAL, LATE, REFUSED, FAILED, CALLER_LEFT, CUT)
+"""A partial answer within the latency goal is ``PARTIAL``; one after the goal is ``LATE``."""
 
-_SHARD = re.compile(r"(?:^|; |: )[^:;()]+: ([^:;()]+?)(?::[^;(]*)? \(")
-"""The word of each missing shard in a reason: ``s1: shed (i-1 ended 3+0 ms); s2: ...``."""
+_SHARD_CAUSE = re.compile(r"(?:^|; |: )[^:;()]+: ([^:;()]+?)(?::[^;(]*)? \(")
+"""The cause of each missing shard in a reason: ``s1: shed (i-1 ended 3+0 ms); s2: ...``."""
 
 
 @attrs.frozen
@@ -34,34 +34,34 @@
     route: str
     outcome: str
     cause: str
-    """Empty for one that was answered in full and in time."""
+    """Empty if the request was answered in full and in time."""
 
 
 @attrs.frozen
 class Losses:
-    """All endings that the lines tell of."""
+    """All endings found in the decision logs."""
 
     endings: tuple[Ending, ...]
     unlogged: int
-    """Endings that were left out of the log, nearly all of them answers in full."""
+    """Endings that the log's rate limit suppressed, nearly all of them complete answers."""
 
     def by_route(self) -> dict[str, collections.Counter[str]]:
-        """Count the outcomes of each route."""
-        return _counted(self.endings, lambda ending: ending.route)
+        """Count the outcomes by route."""
+        return _count_outcomes(self.endings, lambda ending: ending.route)
 
-    def by_time(self, every_s: float) -> dict[float, collections.Counter[str]]:
-        """Count the outcomes of each span of time, from the first ending on."""
+    def by_time(self, interval_s: float) -> dict[float, collections.Counter[str]]:
+        """Count the outcomes by time interval, starting at the first ending."""
         if not self.endings:
             return {}
         first_s = self.endings[0].at_s
 
-        def begin_s(ending: Ending) -> float:
-            return (ending.at_s - first_s) // every_s * every_s
+        def interval_start_s(ending: Ending) -> float:
+            return (ending.at_s - first_s) // interval_s * interval_s
 
-        return _counted(self.endings, begin_s)
+        return _count_outcomes(self.endings, interval_start_s)
 
     def causes(self) -> collections.Counter[tuple[str, str, str]]:
-        """Count the causes of what was not answered in full and in time: route, outcome, cause."""
+        """Count (route, outcome, cause) of the requests not answered in full and in time."""
         return collections.Counter(
             (each.route, each.outcome, each.cause)
             for each in self.endings
@@ -72,108 +72,113 @@
 _Key = typing.TypeVar("_Key", str, float)
 
 
-def _counted(
+def _count_outcomes(
     endings: abc.Iterable[Ending], key: abc.Callable[[Ending], _Key]
 ) -> dict[_Key, collections.Counter[str]]:
-    found: dict[_Key, collections.Counter[str]] = collections.defaultdict(collections.Counter)
+    counts: dict[_Key, collections.Counter[str]] = collections.defaultdict(collections.Counter)
     for ending in endings:
-        found[key(ending)][ending.outcome] += 1
-    return dict(sorted(found.items()))
+        counts[key(ending)][ending.outcome] += 1
+    return dict(sorted(counts.items()))
 
 
 def losses(lines: abc.Sequence[trace.Line]) -> Losses:
     """
-    Find out how all requests ended.
+    Determine how all requests ended.
 
-    :param lines: of all instances, in order of time
+    :param lines: the decision lines of all instances, sorted by time
     """
     routes = {line["request"]: line["route"] for line in lines if line["event"] == "query.routed"}
-    waited = {line["request"] for line in lines if line["event"] == "query.waited"}
+    queued = {line["request"] for line in lines if line["event"] == "query.waited"}
     endings = []
-    ended = set()
+    ended_requests = set()
     unlogged = 0
     for line in lines:
-        ending = _ending(line, routes, waited)
+        ending = _parse_ending(line, routes, queued)
         if ending is None:
             continue
         endings.append(ending)
-        ended.add(line.get("request"))
+        ended_requests.add(line.get("request"))
         unlogged += line.get("left_out_before", 0)
-    endings += _cut_off(lines, ended)
+    endings += _find_cut_off(lines, ended_requests)
     return Losses(tuple(sorted(endings, key=lambda ending: ending.at_s)), unlogged)
 
 
-def _ending(
-    line: trace.Line, routes: abc.Mapping[str, str], waited: abc.Container[str]
+def _parse_ending(
+    line: trace.Line, routes: abc.Mapping[str, str], queued: abc.Container[str]
 ) -> Ending | None:
     route = line.get("route") or routes.get(line.get("request", ""), "unknown")
     reason = line.get("reason") or ""
     match line["event"]:
         case "query.answered" | "query.partial":
-            outcome, cause = _answered(line, waited)
+            outcome, cause = _classify_answer(line, queued)
         case "query.refused":
             outcome, cause = REFUSED, reason.partition(":")[0]
         case "query.failed":
             outcome, cause = FAILED, cause_of(reason)
         case "query.caller_left":
-            outcome, cause = LEFT, "left before its answer"
+            outcome, cause = CALLER_LEFT, "disconnected before its answer"
         case _:
             return None
     return Ending(line["time_s"], route, outcome, cause)
 
 
-def _answered(line: trace.Line, waited: abc.Container[str]) -> tuple[str, str]:
+def _classify_answer(line: trace.Line, queued: abc.Container[str]) -> tuple[str, str]:
     if line["duration_ms"] > line["goal_ms"]:
-        if line.get("request") in waited:
-            return LATE, "waited for its turn"
-        return LATE, "sent again" if line["repeats"] else "slow part"
+        if line.get("request") in queued:
+            return LATE, "queued during slow start"
+        return LATE, "retried" if line["repeats"] else "slow part"
     if line["event"] == "query.partial":
         return PARTIAL, cause_of(line["reason"])
     return IN_TIME, ""
 
 
 def cause_of(reason: str) -> str:
-    """Return the most frequent cause of the shards that a reason names, or how it begins."""
-    shards = collections.Counter(each.strip() for each in _SHARD.findall(reason))
+    """Return the most frequent cause among a reason's shards, or else its text up to a colon."""
+    shards = collections.Counter(each.strip() for each in _SHARD_CAUSE.findall(reason))
     if shards:
         return shards.most_common(1)[0][0]
     return reason.partition(":")[0]
 
 
-def _cut_off(lines: abc.Sequence[trace.Line], ended: abc.Container[str]) -> abc.Iterator[Ending]:
+def _find_cut_off(
+    lines: abc.Sequence[trace.Line], ended_requests: abc.Container[str]
+) -> abc.Iterator[Ending]:
     """
-    Find the requests that an instance had under way when it was lost.
+    Find the requests that an instance had in flight when its process was lost.
 
-    Endings of answered requests may be left out of the log, so that only those count which were
-    still within their time at the last line before a start without a stop.
+    The endings of answered requests may be suppressed in the log. A request without an ending
+    therefore counts only if its deadline had not passed at the last line before a start that no
+    stop precedes.
     """
     by_instance: dict[str, list[trace.Line]] = collections.defaultdict(list)
     for line in lines:
         by_instance[line["instance"]].append(line)
-    for own in by_instance.values():
-        starts = [n for n, line in enumerate(own) if line["event"] == "instance.starting"]
+    for instance_lines in by_instance.values():
+        starts = [
+            n for n, line in enumerate(instance_lines) if line["event"] == "instance.starting"
+        ]
         for begin, end in itertools.pairwise([0, *starts]):
-            life = own[begin:end]
-            if not life or life[-1]["event"] == "instance.stopped":
+            process_lines = instance_lines[begin:end]
+            if not process_lines or process_lines[-1]["event"] == "instance.stopped":
                 continue
-            last_s = life[-1]["time_s"]
-            for line in life:
-                if line["event"] != "query.routed" or line["request"] in ended:
+            last_s = process_lines[-1]["time_s"]
+            for line in process_lines:
+                if line["event"] != "query.routed" or line["request"] in ended_requests:
                     continue
                 if line["time_s"] + line["left_ms"] / 1000 >= last_s:
                     yield Ending(line["time_s"], line["route"], CUT, "its instance was lost")
 
 
-def describe(found: Losses, every_s: float, most_causes: int = 20) -> abc.Iterator[str]:
-    """Write the losses as text: by route, by time, then the most frequent causes."""
-    for title, table in (("route", found.by_route()), ("second", found.by_time(every_s))):
+def describe(result: Losses, interval_s: float, max_causes: int = 20) -> abc.Iterator[str]:
+    """Format the losses as text: by route, by time, then the most frequent causes."""
+    for title, table in (("route", result.by_route()), ("second", result.by_time(interval_s))):
         yield f"{title:24}" + "".join(f"{each:>12}" for each in ("asked", *OUTCOMES))
         for key, counts in table.items():
             label = key if isinstance(key, str) else f"{key:.1f}"
             numbers = [counts.total(), *(counts[each] for each in OUTCOMES)]
             yield f"{label:24}" + "".join(f"{number:12}" for number in numbers)
         yield ""
-    for (route, outcome, cause), count in found.causes().most_common(most_causes):
+    for (route, outcome, cause), count in result.causes().most_common(max_causes):
         yield f"{count:6}  {route:20} {outcome:12} {cause}"
-    if found.unlogged:
-        yield f"{found.unlogged} endings more were left out of the log, nearly all answers in full"
+    if result.unlogged:
+        yield f"{result.unlogged} endings more were not logged, nearly all complete answers"
--- a/src/turmericlug/operators/tables.py
+++ b/src/turmericlug/operators/tables.py
@@ -1,4 +1,4 @@
-"""Tables for people."""
+"""Tables on the terminal."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def show(title: str, columns: list[str], rows: abc.Iterable[abc.Iterable[typing.Any]]) -> None:
-    """Print a table, 120 columns wide where nobody looks at a terminal."""
+    """Print a table, 120 columns wide if the output is not a terminal."""
     table = rich_table.Table(title=title, title_justify="left")
     for column in columns:
         table.add_column(column, overflow="fold")
--- a/tests/operators/test_http.py
+++ b/tests/operators/test_http.py
@@ -1,4 +1,4 @@
-"""The operators' answers to what was stored."""
+"""Responses of the operators' interface to a stored document."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Distribution:
-    """Confirmed by every other instance; reads nothing, as the store is away."""
+    """Every other instance has confirmed; the store is unreachable, so refreshing fails."""
 
     async def refresh(self):
         return False
@@ -37,10 +37,10 @@
 @pytest.mark.parametrize(
     ("held", "outcome", "waiting_for"), [(6, "stored", ["own"]), (7, "accepted", [])]
 )
-def test_a_catalogue_is_accepted_once_this_instance_has_it(held, outcome, waiting_for):
+def test_a_catalogue_is_accepted_only_once_in_force_on_this_instance(held, outcome, waiting_for):
     """
-    The store takes a catalogue and fails before the instance that wrote it has read it back. The
-    operator is told "accepted", while callers of that instance get answers by the older catalogue.
+    Guards against reporting "accepted" too early: the store accepts a catalogue, then fails before
+    the writing instance has read it back, so that instance still answers by the older catalogue.
     """
     current = types.SimpleNamespace(held=freshness.Revisions(rules=1, catalog=held))
     operators = http.OperatorsHttp.__new__(http.OperatorsHttp)
@@ -50,6 +50,6 @@
     operators._counters = counters.Counters()
     operators._settings = types.SimpleNamespace(instance=types.SimpleNamespace(name="own"))
     response = asyncio.run(operators._put_catalog(Request()))
-    answer = json.loads(response.text)
-    assert (answer["outcome"], answer["waiting_for"]) == (outcome, waiting_for)
-    assert answer["revision"] == 7
+    body = json.loads(response.text)
+    assert (body["outcome"], body["waiting_for"]) == (outcome, waiting_for)
+    assert body["revision"] == 7
--- a/tests/operators/test_losses.py
+++ b/tests/operators/test_losses.py
@@ -1,4 +1,4 @@
-"""Losses by route, time and cause, on written lines."""
+"""Losses by route, time and cause, from prepared log lines."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
     [
         ([routed(), answered(99.0)], losses.IN_TIME, ""),
         ([answered(101.0)], losses.LATE, "slow part"),
-        ([answered(101.0, repeats=1)], losses.LATE, "sent again"),
-        ([line("query.waited"), answered(101.0)], losses.LATE, "waited for its turn"),
+        ([answered(101.0, repeats=1)], losses.LATE, "retried"),
+        ([line("query.waited"), answered(101.0)], losses.LATE, "queued during slow start"),
         ([answered(90.0, "query.partial", reason=MISSING)], losses.PARTIAL, "shed"),
         ([answered(190.0, "query.partial", reason=MISSING)], losses.LATE, "slow part"),
         (
@@ -48,7 +48,11 @@
         ),
         ([line("query.failed", reason="connection reset")], losses.FAILED, "connection reset"),
         ([routed(), line("query.refused", reason="starting")], losses.REFUSED, "starting"),
-        ([routed(), line("query.caller_left", route="r", age_ms=3)], losses.LEFT, "left before"),
+        (
+            [routed(), line("query.caller_left", route="r", age_ms=3)],
+            losses.CALLER_LEFT,
+            "disconnected before",
+        ),
         (
             [routed(), line("instance.starting", 6.0)],
             losses.CUT,
@@ -56,10 +60,10 @@
         ),
     ],
 )
-def test_how_a_request_ended(lines, outcome, cause):
+def test_each_ending_has_an_outcome_and_a_cause(lines, outcome, cause):
     """
-    An operator is told that answers were late this morning, and has the logs of 200 instances. One
-    table has to say how many, from when to when, and what decided it.
+    Answers were late for a period, and the operator has only the logs of 200 instances. One table
+    must show how many requests were affected, when, and for which cause.
     """
     (ending,) = losses.losses(lines).endings
     assert ending.outcome == outcome
@@ -75,10 +79,10 @@
         [routed(), line("instance.stopped", 5.5), line("instance.starting", 6.0)],
         [routed()],
     ],
-    ids=["out of time before", "planned stop", "still running"],
+    ids=["deadline passed before", "planned stop", "still running"],
 )
-def test_what_is_not_counted_as_cut_off(lines):
-    """Endings of answered requests may be left out: without an ending is not yet lost."""
+def test_a_missing_ending_alone_is_not_cut_off(lines):
+    """The log may suppress endings of answered requests: a missing ending alone is no loss."""
     assert losses.losses(lines).endings == ()
 
 
@@ -89,21 +93,21 @@
 ]
 
 
-def test_counts_by_route_and_time():
-    found = losses.losses(LINES)
-    assert found.by_route() == {
+def test_losses_are_counted_by_route_time_and_cause():
+    result = losses.losses(LINES)
+    assert result.by_route() == {
         "other": {losses.IN_TIME: 1},
         "r": {losses.IN_TIME: 1, losses.LATE: 1},
     }
-    assert found.by_time(2.0) == {
+    assert result.by_time(2.0) == {
         0.0: {losses.IN_TIME: 1, losses.LATE: 1},
         2.0: {losses.IN_TIME: 1},
     }
-    assert found.causes() == {("r", losses.LATE, "slow part"): 1}
-    assert found.unlogged == 7
+    assert result.causes() == {("r", losses.LATE, "slow part"): 1}
+    assert result.unlogged == 7
 
 
-def test_the_command_prints_and_draws(tmp_path):
+def test_the_losses_command_prints_and_plots(tmp_path):
     log, plot = tmp_path / "a.log", tmp_path / "losses.png"
     log.write_text("".join(f"  1.0 a {json.dumps(each)}\n" for each in LINES))
     result = testing.CliRunner().invoke(
@@ -115,6 +119,6 @@
     assert plot.read_bytes().startswith(b"\x89PNG")
 
 
-def test_the_command_without_a_request():
+def test_the_losses_command_fails_without_any_ending():
     result = testing.CliRunner().invoke(client.application, ["losses"], input="nothing\n")
     assert result.exit_code == client.EXIT_NOT_FOUND
--- a/tests/operators/test_trace.py
+++ b/tests/operators/test_trace.py
@@ -1,4 +1,4 @@
-"""From a request's id to its cause, on written lines."""
+"""Traces of requests, from prepared log lines."""
 
 from __future__ import annotations
 
@@ -41,38 +41,42 @@
             "s: not in time (i-1 open 200+0 ms)",
         ),
         ([ROUTED, line("query.caller_left", age_ms=12.0)], "cancelled", "the caller left after 12"),
-        ([ROUTED, START | {"time_s": 6.0}], "cut", "a was lost: it started again without a stop"),
+        (
+            [ROUTED, START | {"time_s": 6.0}],
+            "cut",
+            "a was lost: it restarted without logging a stop",
+        ),
         (
             [ROUTED, START | {"time_s": 6.0, "event": "instance.stopped"}],
             "cut",
-            "a stopped with the request under way",
+            "a stopped with the request in flight",
         ),
-        ([ROUTED], "cut", "a was lost: it says nothing after this"),
+        ([ROUTED], "cut", "a was lost: it logged nothing after this line"),
         ([ROUTED, LOST | {"time_s": 9.0}], "open", "no ending was logged"),
-        ([], "unknown", "no line names it"),
+        ([], "unknown", "no log line names it"),
     ],
 )
-def test_outcome_and_cause(lines, outcome, cause):
-    found = trace.trace([START, VERSION, LOST, *lines], "q")
-    assert found.outcome == outcome
-    assert found.cause.startswith(cause)
+def test_trace_determines_outcome_and_cause(lines, outcome, cause):
+    result = trace.trace([START, VERSION, LOST, *lines], "q")
+    assert result.outcome == outcome
+    assert result.cause.startswith(cause)
 
 
-def test_beliefs_carry_their_age():
-    found = trace.trace([START, VERSION, LOST, ROUTED, line("query.failed", reason="x")], "q")
-    assert found.known_state == (
+def test_known_state_is_shown_with_its_age():
+    result = trace.trace([START, VERSION, LOST, ROUTED, line("query.failed", reason="x")], "q")
+    assert result.known_state == (
         "configuration version 7, known for 3.000 s",
-        "store not answering for 2.000 s",
+        "store unreachable for 2.000 s",
     )
 
 
-def test_cut_lines_and_prefixes_are_borne():
+def test_truncated_lines_and_prefixes_are_ignored():
     texts = ["  1.5 a " + json.dumps(ROUTED), json.dumps(LOST)[:20], "", "no json"]
     assert trace.parse(texts) == [ROUTED]
 
 
 @pytest.mark.parametrize(("request_id", "code"), [("q", 0), ("other", client.EXIT_NOT_FOUND)])
-def test_the_command(tmp_path, request_id, code):
+def test_the_trace_command(tmp_path, request_id, code):
     path = tmp_path / "a.log"
     path.write_text(
         "\n".join(json.dumps(each) for each in (VERSION, ROUTED, line("query.answered")))
