--- a/src/turmericlug/daemon.py
+++ b/src/turmericlug/daemon.py
@@ -128,7 +128,7 @@
         detector,
         settings.membership.freshness_ms,
     )
-    detector.on_newer = distribution.pull_from
+    detector.on_newer_revisions = distribution.pull_from
     detector.reads_often = distribution.is_reader
     distribution.read_list = _list_reader(kernel, detector)
     async with tasks.background(distribution.run(), distribution.run_watch()):
--- a/src/turmericlug/membership/detector.py
+++ b/src/turmericlug/membership/detector.py
@@ -47,7 +47,7 @@
         self.members = mesh.members
         self.listed: dict[str, instances.Listed] = {}
         self.reads_often: abc.Callable[[], bool] = lambda: True
-        self.on_newer: abc.Callable[[str], None] = lambda instance: None
+        self.on_newer_revisions: abc.Callable[[str], None] = lambda instance: None
         self._freshness = freshness
         self._counters = counters
         self._interval_s = interval_ms / 1000
@@ -168,7 +168,7 @@
         revisions = freshness_module.Revisions(stamp.rulesRevision, stamp.catalogRevision)
         self._freshness.from_peer(asked_at_s, revisions, stamp.evidenceAgeMs)
         if not self._freshness.held.covers(revisions):
-            self.on_newer(peer)
+            self.on_newer_revisions(peer)
 
     def _end_suspicions(self) -> None:
         now_s = time.monotonic()
@@ -222,7 +222,7 @@
             probe.stamp.rulesRevision, probe.stamp.catalogRevision
         )
         if not self._freshness.held.covers(revisions):
-            self.on_newer(request.peer)
+            self.on_newer_revisions(request.peer)
         if probe.about:
             return self._probe_for(request, probe.about)
         self._reply(request, True, probe.whole)
--- a/src/turmericlug/membership/freshness.py
+++ b/src/turmericlug/membership/freshness.py
@@ -60,7 +60,7 @@
             self._peer_at_s = NEVER_S
         return gap
 
-    def from_store(self, began_at_s: float, revisions: Revisions) -> None:
+    def record_store_read(self, began_at_s: float, revisions: Revisions) -> None:
         """Take a read of the store that began at a time."""
         if self._meets(revisions):
             self._store_at_s = max(self._store_at_s, began_at_s)
--- a/src/turmericlug/membership/members.py
+++ b/src/turmericlug/membership/members.py
@@ -148,7 +148,7 @@
     return member.incarnation, _PRECEDENCE[member.state]
 
 
-def owners(service: str, data_centre: str, members: list[Member]) -> list[Member]:
+def rank_owners(service: str, data_centre: str, members: list[Member]) -> list[Member]:
     """
     Rank the first instances for a service by rendezvous hashing; the first one owns it.
 
--- a/src/turmericlug/owner/owner.py
+++ b/src/turmericlug/owner/owner.py
@@ -78,13 +78,13 @@
         centre = limits.data_centre if limits else ""
         members = self._mesh.members
         if joining:
-            return members_module.owners(service, centre, [*members.serving(), *joining])
+            return members_module.rank_owners(service, centre, [*members.serving(), *joining])
         version = (members.version, self._config.catalog_revision)
         if version != self._ranked_at:
             self._rankings.clear()
             self._ranked_at = version
         if service not in self._rankings:
-            self._rankings[service] = members_module.owners(service, centre, members.serving())
+            self._rankings[service] = members_module.rank_owners(service, centre, members.serving())
         return self._rankings[service]
 
     def owns(self, service: str, joining: tuple[members_module.Member, ...] = ()) -> bool:
@@ -270,7 +270,7 @@
         for member in self.ranking(service)[: _STANDBY_OWNERS + 1]:
             link = self._mesh.link(member.instance)
             if link is not None and member.instance != self._mesh.members.own.instance:
-                link.tell(lambda envelope: setattr(envelope, "targetLeaving", name))
+                link.send_one_way(lambda envelope: setattr(envelope, "targetLeaving", name))
 
     def _others(self) -> list[str]:
         own = self._mesh.members.own.instance
@@ -281,14 +281,14 @@
         for name in gossip.recipients(self._others(), self._rng):
             link = self._mesh.link(name)
             if link is not None:
-                link.tell(lambda envelope: setattr(envelope, "suspects", content))
+                link.send_one_way(lambda envelope: setattr(envelope, "suspects", content))
 
     def on_suspects(self, request: server_module.Request) -> None:
         """Take over under which requests targets of others have ended."""
         answer = self.suspects.merge_message(request.message.suspects)
         link = self._mesh.link(request.peer)
         if answer is not None and link is not None:
-            link.tell(lambda envelope: setattr(envelope, "suspects", answer))
+            link.send_one_way(lambda envelope: setattr(envelope, "suspects", answer))
 
     def on_target_leaving(self, request: server_module.Request) -> None:
         """Note what another owner found out."""
--- a/src/turmericlug/query/fan_out.py
+++ b/src/turmericlug/query/fan_out.py
@@ -148,9 +148,9 @@
         waiting = set(numbers)
 
         def on_reply(message: typing.Any) -> bool:
-            if isinstance(message, link_module.Silent | link_module.Lost):
+            if isinstance(message, link_module.PeerSilent | link_module.ConnectionLost):
                 self._on_note(message, waiting)
-                return isinstance(message, link_module.Lost)
+                return isinstance(message, link_module.ConnectionLost)
             self._on_message(message, waiting)
             return not waiting
 
@@ -165,7 +165,7 @@
             self._parts[number].holders += 1
         self._cancels.append(lambda: link.cancel(request_id))
 
-    def _on_note(self, note: link_module.Note, waiting: set[int]) -> None:
+    def _on_note(self, note: link_module.LinkEvent, waiting: set[int]) -> None:
         """
         Move what a frozen or lost owner still has to the next one, where repeating is safe.
 
@@ -177,7 +177,7 @@
             if open_numbers:
                 self._counters.add("query.moved_parts", len(open_numbers))
                 self._move_on(open_numbers, "owner_lost")
-        elif isinstance(note, link_module.Lost):
+        elif isinstance(note, link_module.ConnectionLost):
             for number in open_numbers:
                 self._close(number, "owner_lost")
         self._changed.set()
--- a/src/turmericlug/records/records.py
+++ b/src/turmericlug/records/records.py
@@ -110,7 +110,7 @@
         deadline_s = time.monotonic() + timeout_s
         bucket = self._bucket_number(wanted.key)
         members = self._mesh.members
-        ranking = members_module.owners(f"records/{bucket}", "", members.serving())
+        ranking = members_module.rank_owners(f"records/{bucket}", "", members.serving())
         verdict = ledger.unavailable("no_owner")
         for tries_left, member in zip(range(_TRIES, 0, -1), ranking, strict=False):
             left_s = deadline_s - time.monotonic()
--- a/src/turmericlug/rules/distribution.py
+++ b/src/turmericlug/rules/distribution.py
@@ -102,7 +102,7 @@
 
     def _rank_among(self, local: list[members_module.Member]) -> bool:
         own = self._detector.members.own
-        ranked = members_module.owners("store-reader", own.data_centre, local)
+        ranked = members_module.rank_owners("store-reader", own.data_centre, local)
         return own.instance in [each.instance for each in ranked[:READERS_PER_DATA_CENTRE]]
 
     def _reads_the_store(self) -> bool:
@@ -130,7 +130,7 @@
             self.store_reachable = False
             return False
         self.store_reachable = True
-        self._config.freshness.from_store(began_at_s, head.revisions)
+        self._config.freshness.record_store_read(began_at_s, head.revisions)
         return True
 
     def pull_from(self, peer: str) -> None:
--- a/src/turmericlug/wire/link.py
+++ b/src/turmericlug/wire/link.py
@@ -32,18 +32,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lost:
+class ConnectionLost:
     """The connection broke while a request was open."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Silent:
+class PeerSilent:
     """The peer has said nothing for too long while a request was open; it may yet answer."""
 
 
-Note = Lost | Silent
+LinkEvent = ConnectionLost | PeerSilent
 OnReply = abc.Callable[[typing.Any], bool]
-"""Takes a reply or a ``Note``; returns true once nothing more is expected."""
+"""Takes a reply or a ``LinkEvent``; returns true once nothing more is expected."""
 
 
 class Link:
@@ -113,7 +113,7 @@
             self._up.clear()
             self._outbox = None
             writer.transport.abort()
-            self._tell_all(Lost())
+            self._tell_all(ConnectionLost())
             self._open.clear()
 
     async def _read(self, reader: asyncio.StreamReader) -> None:
@@ -138,7 +138,7 @@
         if entry[0](message):
             self._open.pop(message.requestId, None)
 
-    def _tell_all(self, note: Note) -> None:
+    def _tell_all(self, note: LinkEvent) -> None:
         for request_id, (on_reply, _) in list(self._open.items()):
             if on_reply(note):
                 self._open.pop(request_id, None)
@@ -148,7 +148,7 @@
         Send a request.
 
         :param fill: sets the envelope's union
-        :param on_reply: gets each reply, and ``Lost`` or ``Silent``
+        :param on_reply: gets each reply, and ``ConnectionLost`` or ``PeerSilent``
         :returns: the request's number, for :meth:`cancel`
         :raises LinkError: no connection stands; the request was not sent
         """
@@ -162,7 +162,7 @@
         self._outbox.put(message)
         return self._request_id
 
-    def tell(self, fill: abc.Callable[[codec.Envelope], None]) -> None:
+    def send_one_way(self, fill: abc.Callable[[codec.Envelope], None]) -> None:
         """Send a message that has no reply, if a connection stands."""
         if self._outbox is not None:
             self._request_id += 1
@@ -189,7 +189,7 @@
         future: asyncio.Future[codec.Envelope] = asyncio.get_running_loop().create_future()
 
         def on_reply(message: typing.Any) -> bool:
-            if isinstance(message, Silent):
+            if isinstance(message, PeerSilent):
                 return False
             if not future.done():
                 future.set_result(message)
@@ -210,7 +210,7 @@
             raise LinkError("timeout", sent=True) from error
         finally:
             self._open.pop(request_id, None)
-        if isinstance(message, Lost):
+        if isinstance(message, ConnectionLost):
             raise LinkError("connection_lost", sent=True)
         if message.which() == "fault":
             raise LinkError(message.fault, sent=True)
@@ -231,7 +231,7 @@
         since_s = max(self.heard_at_s, min(sent_at_s for _, sent_at_s in self._open.values()))
         if now_s - since_s > limit_s:
             self.silent = True
-            self._tell_all(Silent())
+            self._tell_all(PeerSilent())
         elif now_s - since_s > limit_s / 3 and now_s - self._pinged_at_s > limit_s / 3:
             self._pinged_at_s = now_s
             message = codec.envelope(0)
--- a/tests/membership/test_freshness.py
+++ b/tests/membership/test_freshness.py
@@ -27,13 +27,13 @@
 
 def test_nothing_known_is_not_current():
     fresh, clock = make(0)
-    fresh.from_store(clock.now_s, freshness.Revisions(0, 0))
+    fresh.record_store_read(clock.now_s, freshness.Revisions(0, 0))
     assert not fresh.is_current()
 
 
 def test_evidence_from_the_store_ages():
     fresh, clock = make()
-    fresh.from_store(clock.now_s, freshness.Revisions(1, 1))
+    fresh.record_store_read(clock.now_s, freshness.Revisions(1, 1))
     clock.run(fresh, 2.5)
     assert fresh.is_current()
     assert 2400 <= fresh.age_ms() <= 2600
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize("newer", [freshness.Revisions(2, 1), freshness.Revisions(1, 2)])
 def test_knowing_of_something_newer_stops_serving(newer):
     fresh, clock = make()
-    fresh.from_store(clock.now_s, freshness.Revisions(1, 1))
+    fresh.record_store_read(clock.now_s, freshness.Revisions(1, 1))
     fresh.from_peer(clock.now_s, newer, 0)
     assert not fresh.is_current()
     fresh.held = newer
@@ -67,7 +67,7 @@
 def test_a_gap_voids_everything():
     """Frozen for two seconds and thawed: what was known before does not count any more."""
     fresh, clock = make()
-    fresh.from_store(clock.now_s, freshness.Revisions(1, 1))
+    fresh.record_store_read(clock.now_s, freshness.Revisions(1, 1))
     clock.now_s += 2.0
     assert not fresh.is_current()
     fresh.from_peer(clock.now_s, freshness.Revisions(1, 1), 100)
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -80,8 +80,8 @@
 def test_losing_one_owner_moves_only_its_services():
     everyone = [member(f"e{number}") for number in range(9)]
     services = [f"s{number}" for number in range(900)]
-    before = {name: members.owners(name, "", everyone)[0].instance for name in services}
-    after = {name: members.owners(name, "", everyone[1:])[0].instance for name in services}
+    before = {name: members.rank_owners(name, "", everyone)[0].instance for name in services}
+    after = {name: members.rank_owners(name, "", everyone[1:])[0].instance for name in services}
     assert all(after[name] == before[name] for name in services if before[name] != "e0")
     counts = collections.Counter(before.values())
     assert min(counts.values()) > 60 and max(counts.values()) < 150
@@ -89,8 +89,8 @@
 
 def test_owner_is_in_the_replicas_data_centre():
     everyone = [member("a", centre="x"), member("b", centre="y")]
-    assert members.owners("s", "y", everyone)[0].instance == "b"
-    assert len(members.owners("s", "y", everyone)) == 2
+    assert members.rank_owners("s", "y", everyone)[0].instance == "b"
+    assert len(members.rank_owners("s", "y", everyone)) == 2
 
 
 @pytest.mark.parametrize(
--- a/tests/wire/test_link.py
+++ b/tests/wire/test_link.py
@@ -86,7 +86,7 @@
             link.send(lambda envelope: setattr(envelope, "status", None), on_reply)
             await asyncio.sleep(0.1)
             link.check_silence(0.05)
-            assert link.silent and notes == [link_module.Silent()]
+            assert link.silent and notes == [link_module.PeerSilent()]
             link._heard()
             assert not link.silent
 
@@ -106,6 +106,6 @@
             while not notes:
                 await asyncio.sleep(0.001)
             assert (await link.ask(ping, 2)).which() == "pong"
-            assert notes == [link_module.Lost()]
+            assert notes == [link_module.ConnectionLost()]
 
     asyncio.run(main())
