--- a/src/turmericlug/membership/__init__.py
+++ b/src/turmericlug/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances are alive, and which of them owns a service."""
+"""Failure detection, gossip membership and ownership of services by instances."""
--- a/src/turmericlug/membership/detector.py
+++ b/src/turmericlug/membership/detector.py
@@ -1,4 +1,4 @@
-"""Failure detection: each instance probes one other per interval, and gossip rides along."""
+"""Failure detector: probes one peer per interval; probes and replies carry gossip (SWIM)."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from turmericlug.wire import link as link_module
 from turmericlug.wire import server as server_module
 
-_HELPERS = 2
-_RETRY_DEAD_EVERY = 5
-_RARELY = 30
-_REMEMBER_DEAD_S = 30.0
+_INDIRECT_PROBES = 2
+_RETRY_DEAD_INTERVALS = 5
+_RARE_POLL_FACTOR = 30
+_DEAD_RETENTION_S = 30.0
 _LIST_TIMEOUT_S = 1.0
 
 
 class Detector:
-    """Probes, suspicion and gossip of one instance; its cost does not grow with the fleet."""
+    """Probe peers, track suspicions and gossip; the cost does not grow with the fleet."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self._tasks = tasks.Tasks()
 
     def stamp(self) -> dict[str, int]:
-        """Describe what we have in force, for every probe and ping."""
+        """Return the revisions, evidence age, load and store era that each probe carries."""
         held = self._freshness.held
         return {
             "rulesRevision": held.rules,
@@ -78,16 +78,16 @@
                 events.emit("instance.resumed_after_gap", "warning")
                 for member in self.members.peers()[:8]:
                     self._tasks.start(self._probe(member.instance))
-            self._end_suspicions()
-            target = self._next()
+            self._expire_suspicions()
+            target = self._next_peer()
             if target is not None:
                 self._tasks.start(self._probe(target))
             count += 1
-            if count % _RETRY_DEAD_EVERY == 0:
+            if count % _RETRY_DEAD_INTERVALS == 0:
                 self._tasks.start(self._retry_listed())
 
-    def _next(self) -> str | None:
-        """Take the next peer of a shuffled round: each of our few is probed once per round."""
+    def _next_peer(self) -> str | None:
+        """Return the next peer of a shuffled round, which probes each peer of the set once."""
         while self._round:
             instance = self._round.pop()
             member = self.members.by_instance.get(instance)
@@ -98,13 +98,13 @@
         return self._round.pop() if self._round else None
 
     async def _probe(self, instance: str) -> None:
-        if await self._reached(instance, ""):
+        if await self._probe_once(instance, ""):
             return
         helpers = [member.instance for member in self.members.peers()]
         helpers = [name for name in helpers if name != instance]
-        chosen = random.sample(helpers, min(_HELPERS, len(helpers)))
+        chosen = random.sample(helpers, min(_INDIRECT_PROBES, len(helpers)))
         if chosen:
-            found = await asyncio.gather(*(self._reached(name, instance) for name in chosen))
+            found = await asyncio.gather(*(self._probe_once(name, instance) for name in chosen))
             if any(found):
                 return
         if self.members.mark(instance, members_module.SUSPECT):
@@ -113,25 +113,25 @@
         if self.members.by_instance[instance].state != members_module.DEAD:
             self._suspects.setdefault(instance, time.monotonic())
 
-    async def _reached(self, instance: str, about: str) -> bool:
+    async def _probe_once(self, instance: str, about: str) -> bool:
         link = self.mesh.link(instance)
         if link is None:
             return False
         return await self._exchange(link, instance, about)
 
     async def _exchange(self, link: link_module.Link, instance: str, about: str) -> bool:
-        """Probe over a link, directly or through it about another instance."""
+        """Probe the link's peer, or ask it to probe the instance ``about``."""
         asked_at_s = time.monotonic()
 
         def fill(envelope: typing.Any) -> None:
             probe = envelope.init("probe")
             probe.stamp = self.stamp()
             probe.about = about
-            probe.whole = self._is_new_to(instance)
-            news = self.members.take_news()
+            probe.whole = self._wants_full_list(instance)
+            news = self.members.take_updates()
             known = self.members.by_instance.get(instance)
             if known is not None and known.state != members_module.ALIVE:
-                # What we hold against it goes with the probe, so that it can refute it.
+                # Include the suspicion of the probed instance, so that it can refute it.
                 news.append(known)
             probe.news = members_module.to_wire(news)
 
@@ -141,36 +141,36 @@
             return False
         if reply.which() != "probeReply":
             return False
-        self._learn(reply.probeReply.news)
-        self._take_stamp(link.peer, reply.probeReply.stamp, asked_at_s)
+        self._merge_updates(reply.probeReply.news)
+        self._record_stamp(link.peer, reply.probeReply.stamp, asked_at_s)
         if not about:
             self._suspects.pop(instance, None)
         return bool(reply.probeReply.reached)
 
-    def _is_new_to(self, instance: str) -> bool:
-        """Whether we know so little that the whole list is wanted."""
+    def _wants_full_list(self, instance: str) -> bool:
+        """Whether this instance knows too few members and needs the full list."""
         known = self.members.by_instance.get(instance)
         return len(self.members.by_instance) <= 2 or known is None or not known.serving
 
-    def _learn(self, items: typing.Any) -> None:
+    def _merge_updates(self, items: typing.Any) -> None:
         for member in members_module.from_wire(items):
-            if not self.members.learn(member):
+            if not self.members.merge(member):
                 self.members.refresh_load(member)
             elif member.state == members_module.ALIVE:
                 self._suspects.pop(member.instance, None)
             elif member.state == members_module.SUSPECT:
-                # Whoever hears of a suspicion also counts it down, so that the death is
-                # declared even when the instance that raised it is gone as well.
+                # Every instance that learns of a suspicion runs its own timeout, so that the
+                # member is declared dead even if the instance that suspected it fails too.
                 self._suspects.setdefault(member.instance, time.monotonic())
 
-    def _take_stamp(self, peer: str, stamp: typing.Any, asked_at_s: float) -> None:
+    def _record_stamp(self, peer: str, stamp: typing.Any, asked_at_s: float) -> None:
         self.eras.heard(stamp.storeEra)
         revisions = freshness_module.Revisions(stamp.rulesRevision, stamp.catalogRevision)
-        self._freshness.from_peer(asked_at_s, revisions, stamp.evidenceAgeMs)
+        self._freshness.record_peer_reply(asked_at_s, revisions, stamp.evidenceAgeMs)
         if not self._freshness.held.covers(revisions):
             self.on_newer_revisions(peer)
 
-    def _end_suspicions(self) -> None:
+    def _expire_suspicions(self) -> None:
         now_s = time.monotonic()
         for instance, since_s in list(self._suspects.items()):
             member = self.members.by_instance.get(instance)
@@ -181,24 +181,25 @@
                 self.members.mark(instance, members_module.DEAD)
                 self._counters.add("membership.died")
                 events.emit("membership.died", "warning", peer=instance)
-        self._forget_dead(now_s)
+        self._remove_dead(now_s)
 
-    def _forget_dead(self, now_s: float) -> None:
+    def _remove_dead(self, now_s: float) -> None:
         """
-        Drop who has been dead for a while and is not listed any more.
+        Remove members that have been dead for the retention time and are no longer listed.
 
-        Dropped at once, it would come to life again by old gossip of somebody who has not heard.
+        Outdated gossip from a peer that has not learned of the death would add a member that is
+        removed at once again as alive.
         """
         for instance, member in list(self.members.by_instance.items()):
             if member.state != members_module.DEAD:
                 self._dead_since_s.pop(instance, None)
-            elif now_s - self._dead_since_s.setdefault(instance, now_s) > _REMEMBER_DEAD_S:
+            elif now_s - self._dead_since_s.setdefault(instance, now_s) > _DEAD_RETENTION_S:
                 if instance not in self.listed:
                     self.members.forget(instance)
                     del self._dead_since_s[instance]
 
     async def _retry_listed(self) -> None:
-        """Probe one listed instance that we hold for dead or don't know, as after a cut heals."""
+        """Probe one listed instance that is dead or unknown here, to rejoin after a partition."""
         missing = [
             entry
             for name, entry in self.listed.items()
@@ -210,13 +211,13 @@
         ]
         if missing:
             entry = random.choice(missing)
-            async with self.mesh.passing((entry.host, entry.port)) as link:
+            async with self.mesh.temporary_link((entry.host, entry.port)) as link:
                 await self._exchange(link, entry.instance, "")
 
     def on_probe(self, request: server_module.Request) -> typing.Any:
-        """Answer a probe, or make one for a peer that can't reach the instance itself."""
+        """Reply to a probe, or probe an instance for a peer that cannot reach it."""
         probe = request.message.probe
-        self._learn(probe.news)
+        self._merge_updates(probe.news)
         self.eras.heard(probe.stamp.storeEra)
         revisions = freshness_module.Revisions(
             probe.stamp.rulesRevision, probe.stamp.catalogRevision
@@ -224,25 +225,25 @@
         if not self._freshness.held.covers(revisions):
             self.on_newer_revisions(request.peer)
         if probe.about:
-            return self._probe_for(request, probe.about)
+            return self._probe_indirectly(request, probe.about)
         self._reply(request, True, probe.whole)
         return None
 
-    async def _probe_for(self, request: server_module.Request, about: str) -> None:
-        self._reply(request, await self._reached(about, ""), False)
+    async def _probe_indirectly(self, request: server_module.Request, about: str) -> None:
+        self._reply(request, await self._probe_once(about, ""), False)
 
     def _reply(self, request: server_module.Request, reached: bool, whole: bool) -> None:
         def fill(envelope: typing.Any) -> None:
             reply = envelope.init("probeReply")
             reply.stamp = self.stamp()
             reply.reached = reached
-            news = list(self.members.by_instance.values()) if whole else self.members.take_news()
+            news = list(self.members.by_instance.values()) if whole else self.members.take_updates()
             reply.news = members_module.to_wire(news)
 
         request.reply(fill)
 
     def on_ping(self, request: server_module.Request) -> None:
-        """Answer a ping at once: it only asks whether this process runs."""
+        """Reply to a ping at once: it only checks that this process runs."""
 
         def fill(envelope: typing.Any) -> None:
             envelope.init("pong")
@@ -250,7 +251,7 @@
         request.reply(fill)
 
     async def join(self, wait_s: float) -> None:
-        """Make contact with listed peers before serving, as far as that works in time."""
+        """Contact a listed peer before serving, for at most ``wait_s``."""
         end_s = time.monotonic() + wait_s
         while self.listed and time.monotonic() < end_s:
             if self.members.peers() or set(self.listed) <= {self.members.own.instance}:
@@ -259,27 +260,29 @@
 
     async def follow_list(self, session: aiohttp.ClientSession, url: str, poll_s: float) -> None:
         """
-        Read the daemons' part of the platform's list until cancelled.
+        Poll the platform's list of daemons until cancelled.
 
-        Few need it often: those that read the store, and whoever has no peers yet. The others
-        learn of newcomers by gossip and look rarely, so that the list's load does not grow with
-        the square of the fleet.
+        Only instances that read the store or have no peers yet poll it at the full rate. The others
+        learn of new instances by gossip and poll rarely: each reply lists the whole fleet, so
+        the list's load would otherwise grow with the square of the fleet.
         """
         while True:
             with contextlib.suppress(instances.InstancesError):
                 await self.read_list(session, url)
             often = self.reads_often() or not self.members.peers()
-            await asyncio.sleep(poll_s * (1 if often else _RARELY) * random.uniform(0.9, 1.1))
+            await asyncio.sleep(
+                poll_s * (1 if often else _RARE_POLL_FACTOR) * random.uniform(0.9, 1.1)
+            )
 
     async def read_list(self, session: aiohttp.ClientSession, url: str) -> None:
         """
-        Read the daemons' part of the platform's list now.
+        Read the platform's list of daemons once.
 
-        :raises instances.InstancesError: it does not answer
+        :raises instances.InstancesError: the platform does not answer
         """
         found = await instances.read(session, url, instances.DAEMONS, _LIST_TIMEOUT_S)
         self.listed = {entry.instance: entry for entry in found if not entry.leaving}
 
     async def close(self) -> None:
-        """End the probes under way."""
+        """Cancel the probes in flight."""
         await self._tasks.close()
--- a/src/turmericlug/membership/freshness.py
+++ b/src/turmericlug/membership/freshness.py
@@ -1,4 +1,4 @@
-"""Whether this instance knows the newest configuration well enough to answer callers."""
+"""Whether this instance's configuration is recent enough to answer callers."""
 
 from __future__ import annotations
 
@@ -18,37 +18,39 @@
     catalog: int = 0
 
     def covers(self, other: Revisions) -> bool:
-        """Whether nothing in ``other`` is newer."""
+        """Whether neither revision of ``other`` is newer."""
         return self.rules >= other.rules and self.catalog >= other.catalog
 
 
 class Freshness:
     """
-    Evidence that our configuration is the newest, and when it was.
+    Track when this instance's configuration was last known to be the newest.
 
-    A read of the store that began at time t proves that its revision was the newest at t. A peer
-    that had such proof ``age`` ago hands it on: ours is then as old as the moment we asked, less
-    that age. Only intervals measured on one clock are used, so clocks need not agree.
+    A read of the store that began at time t proves that its revision was the newest at t. A peer's
+    reply carries the age of the peer's evidence, so the reply proves the same for the time of the
+    request minus that age. Only intervals measured on one clock are used, so clocks need not agree.
 
-    An instance whose evidence is older than ``limit_ms`` serves on only while peers answer it; one
-    that hears neither store nor peers steps aside, since the others may have moved on without it.
+    An instance whose evidence from the store is older than ``limit_ms`` keeps serving only while
+    peers answer. Without store and peers it stops serving, since the other instances may have
+    applied a newer configuration.
     """
 
     def __init__(self, limit_ms: int, now_s: abc.Callable[[], float] = time.monotonic) -> None:
         self._limit_s = limit_ms / 1000
         self._now_s = now_s
-        self._store_at_s = NEVER_S
-        self._peer_at_s = NEVER_S
+        self._store_evidence_at_s = NEVER_S
+        self._peer_evidence_at_s = NEVER_S
         self._ticked_at_s = now_s()
         self.held = Revisions()
-        self.wanted = Revisions()
+        self.newest_known = Revisions()
 
     def tick(self) -> bool:
         """
-        Note that this process runs.
+        Record that this process runs.
 
-        A gap means that it was frozen: whatever it knew may be outdated, though its clocks never
-        showed it. Everything known from before is void until the store or a peer confirms it.
+        A gap between ticks means that the process was frozen and its configuration may be outdated,
+        although its clocks may not show the pause. Discards all evidence until the store or
+        a peer confirms the configuration again.
 
         :returns: whether a gap was found
         """
@@ -56,36 +58,39 @@
         gap = now_s - self._ticked_at_s > self._limit_s / 3
         self._ticked_at_s = now_s
         if gap:
-            self._store_at_s = NEVER_S
-            self._peer_at_s = NEVER_S
+            self._store_evidence_at_s = NEVER_S
+            self._peer_evidence_at_s = NEVER_S
         return gap
 
     def record_store_read(self, began_at_s: float, revisions: Revisions) -> None:
-        """Take a read of the store that began at a time."""
-        if self._meets(revisions):
-            self._store_at_s = max(self._store_at_s, began_at_s)
-
-    def from_peer(self, asked_at_s: float, revisions: Revisions, age_ms: int) -> None:
-        """Take what a peer says it holds and how old its evidence was when it answered."""
-        if self._meets(revisions):
-            self._peer_at_s = max(self._peer_at_s, asked_at_s)
+        """Record the revisions of a read of the store that began at ``began_at_s``."""
+        if self._covers_newest(revisions):
+            self._store_evidence_at_s = max(self._store_evidence_at_s, began_at_s)
+
+    def record_peer_reply(self, asked_at_s: float, revisions: Revisions, age_ms: int) -> None:
+        """Record a peer's revisions and the age of its evidence at the time of its reply."""
+        if self._covers_newest(revisions):
+            self._peer_evidence_at_s = max(self._peer_evidence_at_s, asked_at_s)
             if revisions == self.held:
-                self._store_at_s = max(self._store_at_s, asked_at_s - age_ms / 1000)
-
-    def _meets(self, revisions: Revisions) -> bool:
-        self.wanted = Revisions(
-            max(self.wanted.rules, revisions.rules), max(self.wanted.catalog, revisions.catalog)
+                self._store_evidence_at_s = max(
+                    self._store_evidence_at_s, asked_at_s - age_ms / 1000
+                )
+
+    def _covers_newest(self, revisions: Revisions) -> bool:
+        self.newest_known = Revisions(
+            max(self.newest_known.rules, revisions.rules),
+            max(self.newest_known.catalog, revisions.catalog),
         )
         return self.held.covers(revisions)
 
     def age_ms(self) -> int:
-        """How old our evidence is, as told to peers."""
-        return int(min((self._now_s() - self._store_at_s) * 1000, 0xFFFFFFFF))
+        """Return the age of the evidence from the store, as sent to peers."""
+        return int(min((self._now_s() - self._store_evidence_at_s) * 1000, 0xFFFFFFFF))
 
     def is_current(self) -> bool:
         """Whether this instance may answer callers now."""
         self.tick()
-        if not self.held.rules or not self.held.covers(self.wanted):
+        if not self.held.rules or not self.held.covers(self.newest_known):
             return False
-        newest_at_s = max(self._store_at_s, self._peer_at_s)
+        newest_at_s = max(self._store_evidence_at_s, self._peer_evidence_at_s)
         return self._now_s() - newest_at_s <= self._limit_s
--- a/src/turmericlug/membership/members.py
+++ b/src/turmericlug/membership/members.py
@@ -1,4 +1,4 @@
-"""What this instance believes of every instance, and how beliefs merge (after SWIM)."""
+"""Membership view of one instance and the merge of gossiped states (after SWIM)."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 ALIVE, SUSPECT, LEAVING, DEAD = "alive", "suspect", "leaving", "dead"
 _PRECEDENCE = {ALIVE: 0, SUSPECT: 1, LEAVING: 2, DEAD: 3}
-_NEWS_PER_MESSAGE = 12
-_MOST_NEWS_PER_MESSAGE = 48
-RANKED = 8
-"""Instances that a ranking of owners names."""
+_UPDATES_PER_MESSAGE = 12
+_MAX_UPDATES_PER_MESSAGE = 48
+MAX_RANKED_OWNERS = 8
+"""Upper bound on the instances in a ranking of owners."""
 PROBED_PEERS = 16
-"""Peers that one instance probes in turn."""
+"""Peers that one instance probes, in turn."""
 
 
 @attrs.frozen
@@ -34,7 +34,7 @@
     data_centre: str
     load_permille: int = 0
     ready: bool = True
-    """Whether it has the newest configuration: one without rules must get no caller."""
+    """Whether it has the newest configuration; an instance without rules must get no callers."""
 
     @property
     def serving(self) -> bool:
@@ -43,18 +43,18 @@
 
 
 class Members:
-    """The view: beliefs by instance, and the news still to be told."""
+    """The state of each known instance, and the updates still to be gossiped."""
 
     def __init__(self, own: Member) -> None:
         self.own = own
         self.by_instance: dict[str, Member] = {own.instance: own}
         self.version = 0
         self.refuted = 0
-        self._news: dict[str, int] = {}
-        self._tell(own.instance)
+        self._pending_updates: dict[str, int] = {}
+        self._enqueue_update(own.instance)
 
     def serving(self) -> list[Member]:
-        """Return the instances that take new work, ourselves included."""
+        """Return the instances that take new work, including this one."""
         return [member for member in self.by_instance.values() if member.serving]
 
     def peers(self) -> list[Member]:
@@ -65,14 +65,14 @@
             if member.state != DEAD and member.instance != self.own.instance
         ]
 
-    def learn(self, member: Member) -> bool:
+    def merge(self, member: Member) -> bool:
         """
-        Merge one belief.
+        Merge the gossiped state of one instance.
 
-        A suspicion or a death told about ourselves is contradicted with a higher incarnation: a
-        frozen instance that resumes would otherwise stay dead in every view.
+        Refutes a suspicion or death of this instance with a higher incarnation: an instance that
+        resumes after a freeze would otherwise stay dead in every view.
 
-        :returns: whether it changed the view
+        :returns: whether the state of another instance changed
         """
         if member.instance == self.own.instance:
             if member.state != self.own.state and member.incarnation >= self.own.incarnation:
@@ -86,7 +86,7 @@
         return True
 
     def refresh_load(self, member: Member) -> None:
-        """Take a newer load report of a member already known, without making news of it."""
+        """Update the load of a known member without queueing a gossip update."""
         known = self.by_instance.get(member.instance)
         if known is not None and known.incarnation == member.incarnation:
             self.by_instance[member.instance] = attrs.evolve(
@@ -102,32 +102,36 @@
         return True
 
     def announce(self, **changes: typing.Any) -> None:
-        """Change our own entry and tell everyone."""
+        """Change this instance's own entry and gossip it."""
         self._set(attrs.evolve(self.own, incarnation=self.own.incarnation + 1, **changes))
 
     def set_own_load(self, load_permille: int) -> None:
-        """Change our load, which rides on every probe and so needs no news."""
+        """Set this instance's load; every probe carries it, so no update is queued."""
         self.own = attrs.evolve(self.own, load_permille=load_permille)
         self.by_instance[self.own.instance] = self.own
 
     def forget(self, instance: str) -> None:
-        """Drop a dead instance that the platform no longer lists."""
+        """Remove a dead instance that the platform no longer lists."""
         self.by_instance.pop(instance, None)
-        self._news.pop(instance, None)
+        self._pending_updates.pop(instance, None)
 
-    def take_news(self) -> list[Member]:
+    def take_updates(self) -> list[Member]:
         """
-        Return what is to ride on the next message: ourselves, then the least told.
+        Return the updates for the next message: this instance, then those sent least often.
 
-        More of it when much is waiting, as when a whole data centre goes.
+        The number rises with the backlog, as when a whole data centre fails.
         """
-        room = min(max(_NEWS_PER_MESSAGE, len(self._news) // 4), _MOST_NEWS_PER_MESSAGE)
-        told = sorted(self._news, key=self._news.__getitem__, reverse=True)[:room]
+        room = min(
+            max(_UPDATES_PER_MESSAGE, len(self._pending_updates) // 4), _MAX_UPDATES_PER_MESSAGE
+        )
+        told = sorted(self._pending_updates, key=self._pending_updates.__getitem__, reverse=True)[
+            :room
+        ]
         news = [self.own]
         for instance in told:
-            self._news[instance] -= 1
-            if not self._news[instance]:
-                del self._news[instance]
+            self._pending_updates[instance] -= 1
+            if not self._pending_updates[instance]:
+                del self._pending_updates[instance]
             if instance != self.own.instance and instance in self.by_instance:
                 news.append(self.by_instance[instance])
         return news
@@ -137,11 +141,11 @@
         if member.instance == self.own.instance:
             self.own = member
         self.version += 1
-        self._tell(member.instance)
+        self._enqueue_update(member.instance)
 
-    def _tell(self, instance: str) -> None:
-        # Each message reaches one peer; 3 log2(n) of them reach all with high probability.
-        self._news[instance] = 3 * math.ceil(math.log2(len(self.by_instance) + 1)) + 1
+    def _enqueue_update(self, instance: str) -> None:
+        # Each message reaches one peer; 3 log2(n) messages reach all with high probability.
+        self._pending_updates[instance] = 3 * math.ceil(math.log2(len(self.by_instance) + 1)) + 1
 
 
 def _rank(member: Member) -> tuple[int, int]:
@@ -152,12 +156,12 @@
     """
     Rank the first instances for a service by rendezvous hashing; the first one owns it.
 
-    Instances in the replicas' data centre come first, so that the owner's hop to its targets is
-    short. A change of one instance moves only that instance's services.
+    Instances in the replicas' data centre rank first, which keeps the latency from the owner to
+    its targets low. Adding or removing one instance moves only that instance's services.
 
     :param service: the service's name
     :param data_centre: where most of its replicas are; empty when unknown
-    :param members: the candidates
+    :param members: the candidate instances
     """
 
     def weight(member: Member) -> tuple[bool, int]:
@@ -165,19 +169,19 @@
         return member.data_centre == data_centre, score
 
     local = [each for each in members if each.data_centre == data_centre]
-    # Nobody asks for more than the first few: with enough of them near by, the others of a large
-    # fleet need not be weighed.
-    candidates = local if len(local) >= RANKED else members
-    return heapq.nlargest(RANKED, candidates, key=weight)
+    # Callers use only the first few; with enough local candidates, a large fleet's remote
+    # instances need no score.
+    candidates = local if len(local) >= MAX_RANKED_OWNERS else members
+    return heapq.nlargest(MAX_RANKED_OWNERS, candidates, key=weight)
 
 
 def probe_set(own: str, peers: list[Member]) -> list[str]:
     """
     Choose the peers that an instance probes: a fixed few, whatever the size of the fleet.
 
-    Each keeps its links open, and 4,700 open links would take more memory than the rest of a
-    daemon. Rendezvous hashing gives each instance about as many probers as it probes; that one of
-    4,700 has none has the probability exp(-PROBED_PEERS), and gossip comes to it all the same.
+    A probed peer's link stays open, and 4,700 open links would take more memory than the rest of a
+    daemon. Rendezvous hashing gives each instance about as many probers as it probes. The
+    probability that one of 4,700 has no prober is exp(-PROBED_PEERS); gossip still reaches it.
     """
 
     def weight(member: Member) -> int:
@@ -187,7 +191,7 @@
 
 
 def to_wire(members: list[Member]) -> list[dict[str, typing.Any]]:
-    """Turn members into what an envelope's list takes."""
+    """Encode members for an envelope's list."""
     return [
         {
             "instance": member.instance,
@@ -206,15 +210,15 @@
 
 def from_wire(items: typing.Any) -> list[Member]:
     """
-    Read members from an envelope's list.
+    Decode members from an envelope's list.
 
-    :raises codec.FrameError: a state this version does not know
+    :raises codec.FrameError: the list has a state that this version does not know
     """
     found = []
     for item in items:
         state = str(item.state)
         if state not in _PRECEDENCE:
-            raise codec.FrameError(f"member state {state}")
+            raise codec.FrameError(f"unknown member state {state}")
         found.append(
             Member(
                 item.instance,
--- a/src/turmericlug/membership/mesh.py
+++ b/src/turmericlug/membership/mesh.py
@@ -1,4 +1,4 @@
-"""Links to peers, opened when first needed and closed when their instance is gone."""
+"""Links to peers, opened on first use and closed when idle or when the peer is dead."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from turmericlug.telemetry import counters as counters_module
 from turmericlug.wire import link as link_module
 
-_TICKS_PER_SILENCE = 3
+_CHECKS_PER_SILENCE_LIMIT = 3
 _IDLE_LIMIT_S = 30.0
-"""Links that nothing was sent on for this long are closed, so that they stay few."""
+"""Links without traffic for this long are closed, to bound the number of open links."""
 
 
 class Mesh:
-    """Our links by instance."""
+    """The links of this instance, by peer."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._links: dict[str, tuple[link_module.Link, asyncio.Task[None]]] = {}
 
     def link(self, instance: str) -> link_module.Link | None:
-        """Return the link to an instance, ``None`` if we don't know its address."""
+        """Return the link to an instance; ``None`` if it is unknown or dead."""
         member = self.members.by_instance.get(instance)
         if member is None or member.state == members_module.DEAD:
             return None
@@ -51,8 +51,8 @@
         return link
 
     @contextlib.asynccontextmanager
-    async def passing(self, address: tuple[str, int]) -> abc.AsyncIterator[link_module.Link]:
-        """Open a link to an address whose instance is not known, for the length of the block."""
+    async def temporary_link(self, address: tuple[str, int]) -> abc.AsyncIterator[link_module.Link]:
+        """Open a link to an address whose instance is not a known member, within the block."""
         link = self._new_link(address)
         async with link_module.opened(link):
             yield link
@@ -62,13 +62,13 @@
         return link_module.Link(address, self._key, own.instance, self._counters, self._source_host)
 
     async def watch_silence(self) -> None:
-        """Find silent peers, and close the links of dead ones, until cancelled."""
-        tick_s = self._silence_s / _TICKS_PER_SILENCE
+        """Detect silent peers and close idle links and links to dead peers, until cancelled."""
+        tick_s = self._silence_s / _CHECKS_PER_SILENCE_LIMIT
         while True:
             slept_at_s = time.monotonic()
             await asyncio.sleep(tick_s)
-            # When this process itself was held up, its peers' replies wait unread in the sockets:
-            # their silence is our own, and moving their parts would double the work.
+            # If this process's event loop was blocked, replies may wait unread in the sockets.
+            # Treating the peers as silent would move their parts and run the work twice.
             lag_s = time.monotonic() - slept_at_s - tick_s
             self._counters.time_ms("instance.loop_lag_ms", lag_s * 1000)
             if lag_s > tick_s:
@@ -88,14 +88,14 @@
             entry[1].cancel()
 
     async def close(self) -> None:
-        """End every link."""
+        """Close every link."""
         self._links.clear()
         await self._tasks.close()
 
 
 @contextlib.asynccontextmanager
 async def running(mesh: Mesh) -> abc.AsyncIterator[Mesh]:
-    """Watch over the links for the length of the block."""
+    """Monitor the links for silence within the block."""
     async with tasks.background(mesh.watch_silence()):
         try:
             yield mesh
--- a/tests/membership/test_freshness.py
+++ b/tests/membership/test_freshness.py
@@ -25,7 +25,7 @@
     return fresh, clock
 
 
-def test_nothing_known_is_not_current():
+def test_without_configuration_is_not_current():
     fresh, clock = make(0)
     fresh.record_store_read(clock.now_s, freshness.Revisions(0, 0))
     assert not fresh.is_current()
@@ -41,34 +41,34 @@
     assert not fresh.is_current()
 
 
-def test_peers_hand_evidence_on_with_its_age():
+def test_evidence_from_a_peer_keeps_its_age():
     fresh, clock = make()
-    fresh.from_peer(clock.now_s, freshness.Revisions(1, 1), 2000)
+    fresh.record_peer_reply(clock.now_s, freshness.Revisions(1, 1), 2000)
     assert fresh.age_ms() == 2000
 
 
 @pytest.mark.parametrize("newer", [freshness.Revisions(2, 1), freshness.Revisions(1, 2)])
-def test_knowing_of_something_newer_stops_serving(newer):
+def test_a_known_newer_revision_stops_serving(newer):
     fresh, clock = make()
     fresh.record_store_read(clock.now_s, freshness.Revisions(1, 1))
-    fresh.from_peer(clock.now_s, newer, 0)
+    fresh.record_peer_reply(clock.now_s, newer, 0)
     assert not fresh.is_current()
     fresh.held = newer
     assert fresh.is_current()
 
 
-def test_a_peer_that_is_behind_says_nothing_about_the_store():
+def test_a_peer_with_older_revisions_is_no_evidence_from_the_store():
     fresh, clock = make(2)
-    fresh.from_peer(clock.now_s, freshness.Revisions(1, 1), 0)
+    fresh.record_peer_reply(clock.now_s, freshness.Revisions(1, 1), 0)
     assert fresh.age_ms() > 10**6
     assert fresh.is_current()
 
 
-def test_a_gap_voids_everything():
-    """Frozen for two seconds and thawed: what was known before does not count any more."""
+def test_a_gap_discards_all_evidence():
+    """A process frozen for two seconds must not serve on evidence from before the freeze."""
     fresh, clock = make()
     fresh.record_store_read(clock.now_s, freshness.Revisions(1, 1))
     clock.now_s += 2.0
     assert not fresh.is_current()
-    fresh.from_peer(clock.now_s, freshness.Revisions(1, 1), 100)
+    fresh.record_peer_reply(clock.now_s, freshness.Revisions(1, 1), 100)
     assert fresh.is_current()
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    ("known", "told", "state"),
+    ("known", "received", "state"),
     [
         (("alive", 1), ("suspect", 1), "suspect"),
         (("suspect", 1), ("alive", 1), "suspect"),
@@ -26,33 +26,33 @@
         (("alive", 3), ("dead", 2), "alive"),
     ],
 )
-def test_merge(known, told, state):
+def test_merge(known, received, state):
     view = members.Members(member("me"))
-    view.learn(member("peer", *known))
-    view.learn(member("peer", *told))
+    view.merge(member("peer", *known))
+    view.merge(member("peer", *received))
     assert view.by_instance["peer"].state == state
 
 
 @pytest.mark.parametrize("state", [members.SUSPECT, members.DEAD])
 def test_own_death_is_refuted(state):
     view = members.Members(member("me"))
-    view.learn(member("me", state, 5))
+    view.merge(member("me", state, 5))
     assert (view.own.state, view.own.incarnation) == (members.ALIVE, 6)
-    assert view.take_news()[0] == view.own
+    assert view.take_updates()[0] == view.own
 
 
-def test_leaving_is_not_refuted_into_staying():
+def test_refuting_a_death_keeps_the_leaving_state():
     view = members.Members(member("me"))
     view.announce(state=members.LEAVING)
-    view.learn(member("me", members.DEAD, view.own.incarnation))
+    view.merge(member("me", members.DEAD, view.own.incarnation))
     assert view.own.state == members.LEAVING
 
 
-def test_news_are_told_a_bounded_number_of_times():
+def test_an_update_is_sent_a_bounded_number_of_times():
     view = members.Members(member("me"))
-    view.learn(member("peer"))
-    told = sum(len(view.take_news()) > 1 for _ in range(100))
-    assert 3 <= told <= 15
+    view.merge(member("peer"))
+    sent = sum(len(view.take_updates()) > 1 for _ in range(100))
+    assert 3 <= sent <= 15
 
 
 @hypothesis.given(
@@ -66,13 +66,13 @@
     strategies.randoms(use_true_random=False),
 )
 @hypothesis.settings(derandomize=True)
-def test_views_converge_in_any_order(beliefs, rng):
+def test_views_converge_in_any_order(states, rng):
     ends = set()
     for _ in range(3):
         view = members.Members(member("me"))
-        rng.shuffle(beliefs)
-        for belief in beliefs:
-            view.learn(member("peer", *belief))
+        rng.shuffle(states)
+        for state in states:
+            view.merge(member("peer", *state))
         ends.add(view.by_instance["peer"])
     assert len(ends) == 1
 
@@ -98,8 +98,8 @@
     [("alive", True, True), ("suspect", True, True), ("alive", False, False)]
     + [("leaving", True, False), ("dead", True, False)],
 )
-def test_who_takes_new_work(state, ready, serving):
-    """A new instance without the rules must get no caller; nor must one that leaves."""
+def test_serving_depends_on_state_and_readiness(state, ready, serving):
+    """Neither a new instance without rules nor a leaving instance may get callers."""
     found = attrs.evolve(member("a", state), ready=ready)
     assert found.serving is serving
 
--- a/tests/mutants_daemon.py
+++ b/tests/mutants_daemon.py
@@ -151,7 +151,7 @@
         "membership/members.py",
         "return self.ready and self.state in (ALIVE, SUSPECT)",
         "return self.state in (ALIVE, SUSPECT)",
-        "membership/test_members.py::test_who_takes_new_work",
+        "membership/test_members.py::test_serving_depends_on_state_and_readiness",
     ),
     mutant.one(
         "always-current",
@@ -165,7 +165,7 @@
         "membership/freshness.py",
         "gap = now_s - self._ticked_at_s > self._limit_s / 3",
         "gap = False",
-        "membership/test_freshness.py::test_a_gap_voids_everything",
+        "membership/test_freshness.py::test_a_gap_discards_all_evidence",
     ),
     mutant.one(
         "revisions-may-fall",
