--- a/src/turmericlug/http1/__init__.py
+++ b/src/turmericlug/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over a C parser: the callers' server and the client towards targets and the store."""
+"""HTTP/1.1 on a C parser: the server for callers and the client for targets and the store."""
--- a/src/turmericlug/http1/client.py
+++ b/src/turmericlug/http1/client.py
@@ -1,9 +1,9 @@
 """
-One connection towards a target or the store.
+HTTP/1.1 client connection to a target or the store.
 
-aiohttp's client repeats idempotent requests by itself on a stale connection and drops bytes that
-follow a complete response without a sign. Both hide what decides whether a request may have run, so
-this module sits directly on the C parser that the library builds on.
+aiohttp's client silently retries idempotent requests on a stale connection and silently discards
+bytes after a complete response. Both hide whether a request may have run, so this module uses
+httptools, a C parser, directly.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 import httptools
 
 CONNECT_TIMEOUT_S = 0.4
-"""Sixteen round trips between regions of 25 ms; a lost opening packet is sent again after 1 s."""
+"""16 round trips of 25 ms between regions; the kernel resends a lost SYN only after 1 s."""
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
-"""Bounds memory per response; the largest bodies measured are some tens of kilobytes."""
+"""Bounds the memory per response; the largest measured bodies are some tens of kilobytes."""
 USER_TIMEOUT_MS = 3000
-"""Unacknowledged bytes end a connection after this; a partition otherwise hangs it for minutes."""
+"""Limit on unacknowledged data; a partition otherwise blocks a connection for minutes."""
 _TCP_INFO = struct.Struct("8B24I")
-_TCP_INFO_RTT = 8 + 15
-"""Place of the smoothed round trip, in microseconds, in the kernel's ``tcp_info``."""
+_TCP_INFO_RTT_INDEX = 8 + 15
+"""Field index of the smoothed round-trip time (µs) in the kernel's ``tcp_info``."""
 _HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -42,24 +42,24 @@
 
 
 class ConnectError(Exception):
-    """No connection could be opened: nothing was sent."""
+    """No connection could be opened; nothing was sent."""
 
 
 class ConnectRefusedError(ConnectError):
-    """Nobody listens at the address."""
+    """The address refused the connection."""
 
 
 class ExchangeError(Exception):
-    """The exchange ended without a whole response; the request may have run."""
+    """The exchange ended without a complete response; the request may have run."""
 
 
 class ConnectionLostError(ExchangeError):
-    """The other side ended the connection while it had the request."""
+    """The server closed or reset the connection before its response was complete."""
 
 
 @attrs.frozen
 class Response:
-    """A whole response as it was received."""
+    """A complete response as received."""
 
     status: int
     reason: bytes
@@ -77,8 +77,8 @@
 
 
 @dataclasses.dataclass
-class _Partial:
-    """What has been received of a response so far."""
+class _PartialResponse:
+    """The part of a response received so far."""
 
     headers: list[tuple[bytes, bytes]]
     body: list[bytes]
@@ -93,30 +93,30 @@
     def __init__(self, on_unasked: abc.Callable[[], None] | None = None) -> None:
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._waiting: asyncio.Future[Response] | None = None
-        self._part = _Partial([], [])
+        self._pending: asyncio.Future[Response] | None = None
+        self._partial = _PartialResponse([], [])
         self._complete: Response | None = None
         self._on_unasked = on_unasked
         self.closed = False
         self.idle_since_s = 0.0
         self.keep_idle_s: float | None = None
-        """How long the other side says that it keeps an idle connection."""
+        """Keep-alive timeout that the server announced; ``None`` without one."""
         self.exchanges = 0
         self._on_interim: abc.Callable[[], None] | None = None
         self._on_chunk: abc.Callable[[bytes], None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport  # type: ignore[assignment]
 
     def data_received(self, data: bytes) -> None:
         """
-        Take bytes of the response that is waited for.
+        Parse bytes of the pending response.
 
-        Bytes that nothing waits for (a second response, garbage behind a complete one) belong to no
-        request: the connection is closed, since the next response on it could be another one's.
+        Closes the connection on bytes without a pending request (a second response, or garbage
+        after a complete one): they could be taken for the response to the next request.
         """
-        if self._waiting is None:
+        if self._pending is None:
             if self._on_unasked is not None:
                 self._on_unasked()
             self.close()
@@ -124,78 +124,78 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            # A complete response followed by garbage: the response stands, the connection doesn't.
+            # Garbage after a complete response: deliver the response, don't reuse the connection.
             if self._complete is None:
                 self._fail(ExchangeError(f"unreadable response: {error}"))
                 return
-            self._spoil()
+            self._discard_surplus()
         self._deliver()
 
     def eof_received(self) -> bool:
-        """End a response that has no length, which is complete when the other side closes."""
+        """Complete a response without a length, which ends when the server closes."""
         self.closed = True
-        if self._waiting is not None and self._part.head_done and self._ends_with_connection():
+        if self._pending is not None and self._partial.head_done and self._ends_with_connection():
             self._finish(reusable=False)
             self._deliver()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Fail the exchange that was under way."""
+        """Fail the exchange in flight."""
         self.closed = True
         self._fail(ConnectionLostError("connection reset" if error else "connection closed"))
 
     def on_status(self, reason: bytes) -> None:
         """Parser callback: reason phrase."""
-        self._part.reason += reason
+        self._partial.reason += reason
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Parser callback: one header."""
-        self._part.headers.append((name.lower(), value))
+        self._partial.headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Parser callback: end of the head."""
-        self._part.head_done = True
+        """Parser callback: end of the header section."""
+        self._partial.head_done = True
 
     def on_body(self, body: bytes) -> None:
         """Parser callback: a piece of the body."""
-        self._part.size += len(body)
-        if self._part.size > MAX_RESPONSE_BYTES:
+        self._partial.size += len(body)
+        if self._partial.size > MAX_RESPONSE_BYTES:
             self._fail(ExchangeError("response too large"))
             return
-        self._part.body.append(body)
+        self._partial.body.append(body)
 
     def on_chunk_complete(self) -> None:
-        """Parser callback: a chunk of the body is whole."""
-        if self._on_chunk is not None and self._part.body:
-            self._on_chunk(b"".join(self._part.body))
-            self._part.body.clear()
+        """Parser callback: a chunk of the body is complete."""
+        if self._on_chunk is not None and self._partial.body:
+            self._on_chunk(b"".join(self._partial.body))
+            self._partial.body.clear()
 
     def on_message_begin(self) -> None:
-        """Parser callback: a response begins; a second one spoils the connection."""
+        """Parser callback: a response begins; a second one makes the connection unusable."""
         if self._complete is not None:
-            self._spoil()
+            self._discard_surplus()
             return
-        self._part = _Partial([], [])
+        self._partial = _PartialResponse([], [])
 
     def on_message_complete(self) -> None:
-        """Parser callback: a response is whole; informational ones (1xx) are passed over."""
+        """Parser callback: a response is complete; interim ones (1xx) don't end the exchange."""
         if self._complete is not None:
             return
         if 100 <= self._parser.get_status_code() < 200:
-            self._part = _Partial([], [])
+            self._partial = _PartialResponse([], [])
             if self._on_interim is not None:
                 self._on_interim()
             return
-        # An early answer to a long body: what is left of the body would be read as a request.
+        # After an early response, the server would read the unsent rest of the body as a request.
         unsent = self._transport.get_write_buffer_size() if self._transport else 0
         self._finish(reusable=self._parser.should_keep_alive() and not unsent)
 
     def _ends_with_connection(self) -> bool:
-        names = {name for name, _ in self._part.headers}
+        names = {name for name, _ in self._partial.headers}
         return b"content-length" not in names and b"transfer-encoding" not in names
 
     def _finish(self, reusable: bool) -> None:
-        part = self._part
+        part = self._partial
         self._complete = Response(
             self._parser.get_status_code(),
             part.reason,
@@ -204,7 +204,7 @@
             reusable,
         )
 
-    def _spoil(self) -> None:
+    def _discard_surplus(self) -> None:
         if self._complete is not None:
             self._complete = attrs.evolve(self._complete, reusable=False)
         self.closed = True
@@ -212,10 +212,10 @@
             self._on_unasked()
 
     def _deliver(self) -> None:
-        if self._complete is None or self._waiting is None:
+        if self._complete is None or self._pending is None:
             return
-        response, waiting = self._complete, self._waiting
-        self._complete = self._waiting = None
+        response, waiting = self._complete, self._pending
+        self._complete = self._pending = None
         self._parser = httptools.HttpResponseParser(self)
         self.keep_idle_s = _keep_idle_s(response.header(b"keep-alive"))
         if not response.reusable:
@@ -224,7 +224,7 @@
             waiting.set_result(response)
 
     def _fail(self, error: ExchangeError) -> None:
-        waiting, self._waiting = self._waiting, None
+        waiting, self._pending = self._pending, None
         if waiting is not None and not waiting.done():
             waiting.set_exception(error)
         self.close()
@@ -238,9 +238,9 @@
         """
         Send one request and wait for its response.
 
-        A cancelled exchange closes the connection, which also tells the target to drop the work.
+        Cancellation closes the connection, which also makes the target drop the request.
 
-        :param on_interim: called for each informational response (1xx)
+        :param on_interim: called for each interim response (1xx)
         :param on_chunk: called for each chunk of the body as it arrives
         :raises ExchangeError: the request may have run
         """
@@ -249,17 +249,17 @@
         self.exchanges += 1
         self._on_interim = on_interim
         self._on_chunk = on_chunk
-        self._waiting = asyncio.get_running_loop().create_future()
+        self._pending = asyncio.get_running_loop().create_future()
         self._transport.write(request)
         try:
-            return await self._waiting
+            return await self._pending
         except asyncio.CancelledError:
-            self._waiting = None
+            self._pending = None
             self.close()
             raise
 
     def close(self) -> None:
-        """Close at once; unread and unsent bytes are lost."""
+        """Abort the connection; unread and unsent bytes are lost."""
         self.closed = True
         if self._transport is not None:
             self._transport.abort()
@@ -282,8 +282,8 @@
     """
     Open a connection.
 
-    :param on_unasked: called when bytes come that no request waits for
-    :raises ConnectError: refused, unreachable, or not open in time
+    :param on_unasked: called when bytes arrive that belong to no pending request
+    :raises ConnectError: the address refuses, is unreachable or does not accept in time
     """
     loop = asyncio.get_running_loop()
     try:
@@ -297,16 +297,16 @@
         raise ConnectRefusedError(type(error).__name__) from error
     except OSError as error:
         raise ConnectError(type(error).__name__) from error
-    tune(transport)
+    set_socket_options(transport)
     return connection
 
 
-def tune(transport: asyncio.BaseTransport) -> None:
+def set_socket_options(transport: asyncio.BaseTransport) -> None:
     """
-    Bound how long a connection may go without acknowledgements.
+    Disable Nagle's algorithm and limit the time without acknowledgements.
 
-    A peer that lost power or is behind a partition answers nothing; without the bound the
-    connection hangs for as long as the kernel sends again.
+    A peer that lost power or is behind a partition acknowledges nothing; without the limit the
+    connection blocks for as long as the kernel retransmits.
     """
     raw = transport.get_extra_info("socket")
     if raw is None:
@@ -317,25 +317,25 @@
 
 
 def round_trip_s(transport: asyncio.BaseTransport) -> float:
-    """Return the kernel's estimate of a connection's round trip; 0 where it gives none."""
+    """Return the kernel's estimate of the round-trip time; 0 if there is none."""
     raw = transport.get_extra_info("socket")
     if raw is None:
         return 0.0
     try:
         info = raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO.size)
-        return _TCP_INFO.unpack(info)[_TCP_INFO_RTT] / 1e6
+        return _TCP_INFO.unpack(info)[_TCP_INFO_RTT_INDEX] / 1e6
     except (OSError, struct.error):
         return 0.0
 
 
 def peer_host(transport: asyncio.BaseTransport) -> str:
-    """Return the address at the other end of a connection; empty where there is none."""
+    """Return the remote address of a connection; empty if there is none."""
     name = transport.get_extra_info("peername")
     return str(name[0]) if name else ""
 
 
 def end_to_end(headers: abc.Iterable[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-    """Return the headers that are not about one connection or the framing of one message."""
+    """Return the headers without hop-by-hop headers and the message framing."""
     headers = list(headers)
     named = set(_HOP_HEADERS)
     for name, value in headers:
@@ -347,7 +347,7 @@
 def request_bytes(
     method: bytes, target: bytes, headers: abc.Iterable[tuple[bytes, bytes]], body: bytes
 ) -> bytes:
-    """Write a request with its length."""
+    """Encode a request, with a ``content-length`` where it has a body."""
     lines = [method + b" " + target + b" HTTP/1.1\r\n"]
     lines += [name + b": " + value + b"\r\n" for name, value in headers]
     if body or method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
--- a/src/turmericlug/http1/messages.py
+++ b/src/turmericlug/http1/messages.py
@@ -1,4 +1,4 @@
-"""What the callers' side of HTTP/1.1 takes and gives: limits, requests, answers."""
+"""Limits, requests and responses of the HTTP/1.1 server for callers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class Limits:
-    """Bounds on what a caller may send and how long it may take."""
+    """Limits on the size of a caller's request and the time to send it."""
 
     header_bytes: int = 16384
     body_bytes: int = 262144
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Request:
-    """A request that was read whole."""
+    """A completely received request."""
 
     method: bytes
     target: bytes
@@ -28,15 +28,15 @@
     """Names in lower case."""
     body: bytes
     arrived_s: float
-    """When its head began to arrive, on the loop's clock."""
+    """Time of its first byte, on the event loop's clock."""
     began_s: float = 0.0
-    """When the caller probably began, with the time to open the connection."""
+    """Estimated time at which the caller started, including connection setup."""
     way_back_s: float = 0.0
-    """What an answer probably takes to the caller."""
+    """Estimated one-way latency of the response to the caller."""
     stalled_s: float = 0.0
-    """For how long this process stood still before it read the request."""
+    """How long the event loop was blocked before it read the request."""
     caller_host: str = ""
-    """The address that the request came from."""
+    """Remote address of the caller."""
 
     def header(self, name: bytes) -> bytes | None:
         """Return the first value of a header, by its lower-case name."""
@@ -48,14 +48,14 @@
 
 @attrs.frozen
 class Answer:
-    """What the caller gets."""
+    """The response to a caller."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...] = ()
     body: bytes = b""
     close: bool = False
     chunks: abc.AsyncIterator[bytes] | None = None
-    """The body in pieces, each sent when it is there; ``body`` is not used then."""
+    """The body in chunks, each sent as soon as it is available; replaces ``body``."""
 
 
 Handler = abc.Callable[[Request], abc.Awaitable[Answer]]
--- a/src/turmericlug/http1/server.py
+++ b/src/turmericlug/http1/server.py
@@ -1,8 +1,9 @@
 """
-The callers' side of HTTP/1.1.
+HTTP/1.1 server for callers.
 
-Sits on the C parser: the limits of the configuration on the size and the pace of a head, the answer
-to a request that crosses a close, and the moment at which a caller leaves all have to be exact.
+Uses the C parser directly, for exact control of the configured size and time limits on the request
+head, of the response to a request that crosses a connection close, and of the detection of a
+caller's disconnect.
 """
 
 from __future__ import annotations
@@ -21,17 +22,17 @@
 from turmericlug.telemetry import decisions
 
 LINGER_S = 1.0
-"""A refused caller that is still sending needs about a round trip to read the refusal; closing with
-unread bytes resets the connection and takes the refusal away."""
+"""A rejected caller that is still sending needs about a round trip to read the response; closing
+with unread bytes resets the connection and discards the response."""
 BACKLOG = 1024
-"""Connections that may wait to be taken: a full queue costs a caller a second."""
-_BODILESS = (204, 304)
+"""Size of the accept queue: when it is full, a caller's connect takes a second longer."""
+_STATUSES_WITHOUT_BODY = (204, 304)
 _IDLE_SLACK_S = 1.0
 _IDLE_MEMORY_S = 30.0
 
 
 class Server:
-    """The connections of one listening address and what they share."""
+    """Connections of one listening address and their shared state."""
 
     def __init__(
         self,
@@ -42,10 +43,10 @@
         stalled_s: abc.Callable[[], float] = lambda: 0.0,
     ) -> None:
         """
-        Make a server.
+        Create a server.
 
-        :param interim: what is written at once when a request was read, before its answer
-        :param stalled_s: tells for how long the process has just stood still
+        :param interim: interim response, written as soon as a request is read
+        :param stalled_s: returns how long the event loop was just blocked
         """
         self.stalled_s = stalled_s
         self.interim = interim
@@ -58,11 +59,11 @@
 
     def idle_timeout_s(self, now_s: float) -> float:
         """
-        Return how long an idle connection is kept.
+        Return the idle timeout of a connection.
 
-        A shorter limit in a new configuration is not known to callers at once: a connection that
-        closes by the new limit while the caller still goes by the old one loses the request that
-        crosses the close. So the longest limit of the last half minute counts.
+        Callers don't know a shorter limit of a new configuration at once. If a connection closes by
+        the new limit while the caller still relies on the old one, a request that crosses the close
+        is lost. Therefore the longest limit of the last 30 s applies.
         """
         limit_s = self.limits().idle_timeout_s
         seen = self._longest_idle
@@ -73,17 +74,17 @@
         return max(each for _, each in seen) + _IDLE_SLACK_S
 
     def leave(self) -> None:
-        """Ask each caller to close: every answer from now on says so."""
+        """Start draining: every response from now on has ``connection: close``."""
         self.leaving = True
 
     def close(self) -> None:
-        """End every connection."""
+        """Close every connection."""
         for connection in list(self.connections):
-            connection.shut()
+            connection.close_after_flush()
 
 
 class _Connection(asyncio.Protocol):
-    """One caller's connection: reads requests, answers them in order, one at a time."""
+    """A caller's connection: reads requests and answers them in order, one at a time."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -94,13 +95,13 @@
         self._work: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._refused = False
-        self._last = False
+        self._is_last = False
         self._requests = 0
         self._begin_message()
 
     @property
     def busy(self) -> bool:
-        """Whether a request was read that has no answer yet."""
+        """Whether a request was read and has no response yet."""
         return self._work is not None or bool(self._queue)
 
     def _begin_message(self) -> None:
@@ -113,18 +114,18 @@
         self._head_done = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection, or refuse it when too many are open."""
+        """Accept the connection, or reject it when too many are open."""
         self._transport = typing.cast(asyncio.Transport, transport)
-        client_module.tune(transport)
+        client_module.set_socket_options(transport)
         self._server.connections.add(self)
         if len(self._server.connections) > self._server.max_connections:
             decisions.log("caller.refused", reason="connections")
             self._refuse(503, "too many connections")
             return
-        self._wait_for_request()
+        self._start_idle_timer()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Cancel the work of a caller that has left."""
+        """Cancel the request of a caller that disconnected."""
         self._server.connections.discard(self)
         self._stop_timer()
         self._queue.clear()
@@ -132,17 +133,17 @@
             self._work.cancel()
 
     def eof_received(self) -> bool:
-        """Take a caller that closes its side as gone: a half close looks no different."""
+        """Treat end of input as a disconnect: a half close looks the same."""
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come; everything after a refusal is dropped."""
-        if self._refused or self._last:
+        """Parse received bytes; discard everything after a rejected or last request."""
+        if self._refused or self._is_last:
             return
         if self._arrived_s is None:
             self._arrived_s = self._loop.time()
             if self._work is None:
-                self._limit_head()
+                self._start_head_timer()
         if not self._head_done:
             self._head_size += len(data)
             if self._head_size > self._server.limits().header_bytes + (
@@ -153,16 +154,16 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._last = True
+            self._is_last = True
         except httptools.HttpParserError as error:
             if not self._refused:
                 decisions.log("caller.refused", reason="unreadable", detail=str(error)[:100])
                 self._refuse(400, "unreadable request")
             return
-        if not self._head_done and self._seen_head_bytes() > self._server.limits().header_bytes:
+        if not self._head_done and self._parsed_head_bytes() > self._server.limits().header_bytes:
             self._refuse(431, "head too large")
 
-    def _seen_head_bytes(self) -> int:
+    def _parsed_head_bytes(self) -> int:
         return len(self._target) + sum(len(key) + len(value) + 4 for key, value in self._headers)
 
     def on_url(self, url: bytes) -> None:
@@ -174,11 +175,11 @@
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Parser callback: check the head before any body is read."""
+        """Parser callback: check the limits on the head before reading the body."""
         self._head_done = True
         if self._refused:
             return
-        if self._seen_head_bytes() > self._server.limits().header_bytes:
+        if self._parsed_head_bytes() > self._server.limits().header_bytes:
             self._refuse(431, "head too large")
             return
         length = next((value for key, value in self._headers if key == b"content-length"), b"0")
@@ -198,12 +199,12 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Parser callback: a request is whole."""
+        """Parser callback: a request is complete."""
         if self._refused:
             return
-        request = self._request()
+        request = self._build_request()
         if not self._parser.should_keep_alive():
-            self._last = True
+            self._is_last = True
         if self._server.interim:
             self._transport.write(self._server.interim)
         self._begin_message()
@@ -212,15 +213,15 @@
             self._stop_timer()
             self._work = self._loop.create_task(self._serve())
         else:
-            # A caller that sends many requests ahead waits, instead of filling the memory.
+            # Backpressure: pipelined requests must not fill the memory.
             self._transport.pause_reading()
 
-    def _request(self) -> messages.Request:
+    def _build_request(self) -> messages.Request:
         """
-        Make the request that was read.
+        Build the request that was read.
 
-        A caller's goal counts from its first packet. On a new connection that is one and a half
-        round trips before the request arrives, else half of one.
+        A caller's latency goal counts from its first packet: on a new connection 1.5 round trips
+        before the request arrives, otherwise half a round trip.
         """
         arrived_s = self._arrived_s or self._loop.time()
         round_trip_s = client_module.round_trip_s(self._transport)
@@ -242,8 +243,8 @@
         try:
             while self._queue and not self._transport.is_closing():
                 request = self._queue.popleft()
-                answer = await self._handled(request)
-                close = answer.close or self._server.leaving or (self._last and not self._queue)
+                answer = await self._call_handler(request)
+                close = answer.close or self._server.leaving or (self._is_last and not self._queue)
                 await self._write(request, answer, close)
                 if close:
                     self._linger()
@@ -253,15 +254,16 @@
         if not self._transport.is_closing():
             self._transport.resume_reading()
             if self._arrived_s is None:
-                self._wait_for_request()
+                self._start_idle_timer()
             else:
-                self._limit_head()
+                self._start_head_timer()
 
-    async def _handled(self, request: messages.Request) -> messages.Answer:
+    async def _call_handler(self, request: messages.Request) -> messages.Answer:
         try:
             return await self._server.handler(request)
         except Exception as error:
-            # A fault of ours must not end the connection without an answer; nothing is promised.
+            # A bug in the handler must not close the connection without a response. The response
+            # does not say whether the request ran.
             decisions.log("caller.failed", reason=f"{type(error).__name__}: {error}"[:300])
             return messages.Answer(500, close=True)
 
@@ -275,12 +277,12 @@
         self._transport.write(b"0\r\n\r\n")
 
     def _refuse(self, status: int, reason: str) -> None:
-        """Answer what can't be read as a request, and close once the caller had time to read it."""
+        """Send an error response, and close after the caller had time to read it."""
         self._refused = True
         self._stop_timer()
         if self._work is not None:
-            # Earlier requests on this connection are still owed their answers, in order.
-            self._last = True
+            # Earlier requests on this connection get their responses first, in order.
+            self._is_last = True
             self._work.add_done_callback(lambda _: self._refuse_now(status, reason))
             return
         self._refuse_now(status, reason)
@@ -294,32 +296,32 @@
         self._linger()
 
     def _linger(self) -> None:
-        """Close our side and drop what still comes, so that the answer isn't lost to a reset."""
-        self._last = True
+        """Close the sending side and discard input, so that no reset discards the response."""
+        self._is_last = True
         self._stop_timer()
         if self._transport.can_write_eof():
             self._transport.write_eof()
         self._timer = self._loop.call_later(LINGER_S, self._transport.abort)
 
-    def _wait_for_request(self) -> None:
+    def _start_idle_timer(self) -> None:
         self._stop_timer()
         idle_s = self._server.idle_timeout_s(self._loop.time())
-        self._timer = self._loop.call_later(idle_s, self._idle_over)
+        self._timer = self._loop.call_later(idle_s, self._on_idle_timeout)
 
-    def _idle_over(self) -> None:
+    def _on_idle_timeout(self) -> None:
         if not self.busy:
-            self.shut()
+            self.close_after_flush()
 
-    def _limit_head(self) -> None:
+    def _start_head_timer(self) -> None:
         self._stop_timer()
         self._timer = self._loop.call_later(
-            self._server.limits().header_timeout_s, self._head_too_slow
+            self._server.limits().header_timeout_s, self._on_head_timeout
         )
 
-    def _head_too_slow(self) -> None:
+    def _on_head_timeout(self) -> None:
         if self._head_done:
-            # The body may take as long as the head did once more, so that a slow but live caller
-            # is served and a stalled one does not hold a connection for good.
+            # The body gets a timeout of its own, so that a slow caller is served and a stalled
+            # one does not hold a connection forever.
             self._timer = self._loop.call_later(
                 self._server.limits().idle_timeout_s, lambda: self._refuse(408, "body too slow")
             )
@@ -331,8 +333,8 @@
             self._timer.cancel()
             self._timer = None
 
-    def shut(self) -> None:
-        """Close after what was written has left."""
+    def close_after_flush(self) -> None:
+        """Close once the written bytes are sent."""
         self._stop_timer()
         self._transport.close()
 
@@ -346,14 +348,14 @@
     lines += [name + b": " + value + b"\r\n" for name, value in answer.headers]
     if answer.chunks is not None:
         lines.append(b"transfer-encoding: chunked\r\n")
-    elif answer.status not in _BODILESS:
+    elif answer.status not in _STATUSES_WITHOUT_BODY:
         lines.append(b"content-length: %d\r\n" % len(answer.body))
     if close:
         lines.append(b"connection: close\r\n")
     elif idle_s:
         lines.append(b"keep-alive: timeout=%d\r\n" % idle_s)
     lines.append(b"\r\n")
-    if method != b"HEAD" and answer.status not in _BODILESS and answer.chunks is None:
+    if method != b"HEAD" and answer.status not in _STATUSES_WITHOUT_BODY and answer.chunks is None:
         lines.append(answer.body)
     return b"".join(lines)
 
@@ -362,9 +364,9 @@
     server: Server, host: str, port: int, early: socket.socket | None = None
 ) -> asyncio.Server:
     """
-    Accept connections; ready to serve when this returns.
+    Accept connections; the server is ready when this returns.
 
-    :param early: listens at the address already
+    :param early: a socket that already listens at the address
     """
     loop = asyncio.get_running_loop()
     if early is not None:
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -1,4 +1,4 @@
-"""The connection towards targets against scripted servers."""
+"""Client connection against scripted servers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @contextlib.asynccontextmanager
 async def scripted(script):
-    """Serve connections by a coroutine function of (reader, writer)."""
+    """Serve each connection with the coroutine function ``script(reader, writer)``."""
 
     async def serve(reader, writer):
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
@@ -34,7 +34,7 @@
 
 
 def answering(answer, then="wait"):
-    """Answer the first request with some bytes and then close, reset, or go on waiting."""
+    """Answer the first request with ``answer``, then close, reset or keep the connection."""
 
     async def script(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
@@ -65,11 +65,11 @@
     ],
     ids=["length", "chunked", "1xx", "closing", "unframed", "surplus", "doubled", "half-doubled"],
 )
-def test_whole_answers(answer, then, reusable):
+def test_complete_responses(answer, then, reusable):
     """
-    A replica sends more than one answer to one request, or garbage behind it.
-    The caller's answer is whole all the same; the next caller on that connection would get the
-    surplus as its own. So the connection is not used again.
+    A replica sends a second response to one request, or garbage after the response.
+    The first response is complete and valid, but the next request on that connection would get the
+    surplus bytes as its response, so the connection must not be reused.
     """
 
     async def main():
@@ -96,10 +96,10 @@
     ],
     ids=["short", "short-reset", "chunks", "unframed-reset", "garbage", "nothing", "head"],
 )
-def test_broken_answers(answer, then):
+def test_incomplete_responses(answer, then):
     """
-    A replica breaks its answer off. A caller that takes the rest for the whole gets wrong records.
-    So an answer counts only when its framing says that it is whole; one without framing only when
+    A replica truncates its response; accepted as complete, it would give the caller wrong records.
+    A response is valid only if its framing shows that it is complete; one without framing only if
     the connection was closed in order, not reset.
     """
 
@@ -113,10 +113,10 @@
     asyncio.run(main())
 
 
-def test_bytes_that_come_while_idle_close_the_connection():
+def test_bytes_on_an_idle_connection_close_it():
     """
-    A second answer arrives after the first was taken, while the connection lies idle.
-    The next request on it would be answered by those bytes before its replica has seen it.
+    A second response arrives after the first was delivered, while the connection is idle.
+    The next request would get those bytes as its response before the replica has received it.
     """
     unasked = []
 
@@ -143,10 +143,10 @@
     assert unasked == [1]
 
 
-def test_an_early_answer_to_a_long_body_ends_the_connection():
+def test_an_early_response_to_a_long_body_prevents_reuse():
     """
-    A replica refuses a long body before it has read it, and keeps the connection.
-    What is left of the body in our buffer would reach it as the start of the next request.
+    A replica rejects a long body before reading all of it, and keeps the connection open.
+    It would read the unsent rest of the body as the start of the next request.
     """
 
     async def main():
@@ -168,8 +168,8 @@
 
 def test_a_cancelled_exchange_closes_the_connection():
     """
-    A caller leaves while its request runs. The replica drops the work when the connection closes;
-    kept open, the connection would hand the abandoned answer to the next request.
+    A caller disconnects while its request runs. Closing the connection makes the replica drop the
+    request; an open connection would deliver the abandoned response to the next request.
     """
     closed = []
 
@@ -212,5 +212,5 @@
         ([(b"te", b"trailers"), (b"upgrade", b"h2c"), (b"content-length", b"3")], []),
     ],
 )
-def test_headers_of_one_connection_are_not_passed_on(headers, kept):
+def test_hop_by_hop_headers_are_not_forwarded(headers, kept):
     assert client.end_to_end(headers) == kept
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -1,4 +1,4 @@
-"""The callers' side against raw bytes."""
+"""HTTP/1.1 server against raw bytes from callers."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 @contextlib.asynccontextmanager
 async def serving(handler, limits=LIMITS, most=100):
-    entrance = server.Server(handler, lambda: limits, most)
-    listener = await server.listen(entrance, "127.0.0.1", 0)
+    http_server = server.Server(handler, lambda: limits, most)
+    listener = await server.listen(http_server, "127.0.0.1", 0)
     try:
-        yield entrance, listener.sockets[0].getsockname()
+        yield http_server, listener.sockets[0].getsockname()
     finally:
         listener.close()
-        entrance.close()
+        http_server.close()
 
 
 async def echo(request):
@@ -33,7 +33,7 @@
 
 
 async def talk(address, *pieces):
-    """Send pieces and return all that comes until the connection closes."""
+    """Send ``pieces`` and return everything received until the connection closes."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         for piece in pieces:
@@ -87,22 +87,22 @@
         "large-target", "large-body", "large-chunks", "two-framings", "two-lengths", "slow-head",
     ],
 )  # fmt: skip
-def test_input_gets_a_clear_status(pieces, statuses):
+def test_input_gets_the_expected_status(pieces, statuses):
     async def main():
         async with serving(echo) as (_, address):
             answer = await talk(address, *pieces)
             found = [part.split(b" ")[0] for part in answer.split(b"HTTP/1.1 ")[1:]]
             assert found == statuses
-            # The server goes on.
+            # The server still accepts requests.
             assert (await talk(address, CLOSING)).startswith(b"HTTP/1.1 200")
 
     asyncio.run(main())
 
 
-def test_a_caller_that_leaves_cancels_its_request():
+def test_a_disconnect_cancels_the_request():
     """
-    A caller closes its connection while its request runs: nobody reads the answer any more, and
-    replicas that go on with it lose their slots to nobody.
+    A caller closes its connection while its request runs. Nobody reads the response, and a replica
+    that keeps processing the request wastes a slot.
     """
     events = []
 
@@ -129,13 +129,13 @@
     assert events == ["began", "cancelled"]
 
 
-def test_a_leaving_server_answers_and_asks_to_close():
+def test_a_draining_server_answers_with_connection_close():
     async def main():
-        async with serving(echo) as (entrance, address):
+        async with serving(echo) as (http_server, address):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(GOOD)
             assert b"keep-alive" in await reader.readuntil(b"GET /a/1 ")
-            entrance.leave()
+            http_server.leave()
             writer.write(GOOD)
             assert b"connection: close" in await reader.read()
             writer.close()
@@ -143,7 +143,7 @@
     asyncio.run(main())
 
 
-def test_a_fault_of_ours_is_an_answer():
+def test_a_handler_exception_gives_status_500():
     async def main():
         async def broken(request):
             raise KeyError("bug")
@@ -154,7 +154,7 @@
     asyncio.run(main())
 
 
-def test_too_many_connections_are_told_so():
+def test_too_many_connections_give_status_503():
     async def main():
         async with serving(echo, most=1) as (_, address):
             _, writer = await asyncio.open_connection(*address)
@@ -170,23 +170,23 @@
     [([15.0], 0.0, 16.0), ([15.0, 5.0], 10.0, 16.0), ([15.0, 5.0], 60.0, 6.0)],
     ids=["usual", "just shortened", "long since shortened"],
 )
-def test_a_shorter_idle_limit_applies_once_callers_can_know_it(limits_s, at_s, kept_s):
+def test_a_shorter_idle_limit_applies_after_a_delay(limits_s, at_s, kept_s):
     """
-    A new configuration shortens the idle limit. Callers go by the old one for a while; a request
-    that they send on a connection that we close by the new one gets no answer.
+    A new configuration shortens the idle limit, and callers rely on the old limit for a while.
+    A request on a connection that the server closes by the new limit would get no response.
     """
     current = [limits_s[0]]
-    entrance = server.Server(echo, lambda: messages.Limits(idle_timeout_s=current[0]), 1)
-    entrance.idle_timeout_s(0.0)
+    http_server = server.Server(echo, lambda: messages.Limits(idle_timeout_s=current[0]), 1)
+    http_server.idle_timeout_s(0.0)
     current[0] = limits_s[-1]
-    entrance.idle_timeout_s(1.0)
-    assert entrance.idle_timeout_s(at_s) == kept_s
+    http_server.idle_timeout_s(1.0)
+    assert http_server.idle_timeout_s(at_s) == kept_s
 
 
-def test_a_request_counts_from_the_callers_first_packet():
+def test_began_s_is_the_callers_first_packet():
     """
-    Callers some milliseconds away open a connection for each request, and every answer that is
-    timed from the request's arrival misses their goal by the time that the connection took.
+    Callers some milliseconds away open a connection for each request. A response timed from the
+    request's arrival would miss their latency goal by the time that connection setup took.
     """
     seen = []
 
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -6,29 +6,29 @@
 
 MUTANTS = (
     mutant.one(
-        "take-surplus-bytes",
+        "accept-surplus-bytes",
         "http1/client.py",
-        "        if self._waiting is None:\n            if self._on_unasked",
-        "        if self._waiting is None and not data:\n            if self._on_unasked",
-        "http1/test_client.py::test_bytes_that_come_while_idle_close_the_connection",
+        "        if self._pending is None:\n            if self._on_unasked",
+        "        if self._pending is None and not data:\n            if self._on_unasked",
+        "http1/test_client.py::test_bytes_on_an_idle_connection_close_it",
     ),
     mutant.one(
-        "keep-a-spoilt-connection",
+        "reuse-a-connection-with-surplus-bytes",
         "http1/client.py",
         "            self._complete = attrs.evolve(self._complete, reusable=False)\n"
         "        self.closed = True",
         "            pass",
-        "http1/test_client.py::test_whole_answers[doubled]",
+        "http1/test_client.py::test_complete_responses[doubled]",
     ),
     mutant.one(
-        "reset-ends-an-unframed-answer",
+        "reset-completes-an-unframed-response",
         "http1/client.py",
         '        self._fail(ConnectionLostError("connection reset" if error else "connection '
         'closed"))',
-        "        if self._part.head_done and self._waiting:\n"
+        "        if self._partial.head_done and self._pending:\n"
         "            self._finish(reusable=False)\n            self._deliver()\n"
         '        self._fail(ConnectionLostError("closed"))',
-        "http1/test_client.py::test_broken_answers",
+        "http1/test_client.py::test_incomplete_responses",
     ),
     mutant.one(
         "accept-response-of-another-request",
@@ -123,18 +123,18 @@
         "entry/test_view.py::test_a_draining_replica_gets_nothing_new",
     ),
     mutant.one(
-        "leave-without-asking-to-close",
+        "drain-without-connection-close",
         "http1/server.py",
         "close = answer.close or self._server.leaving or",
         "close = answer.close or",
-        "http1/test_server.py::test_a_leaving_server_answers_and_asks_to_close",
+        "http1/test_server.py::test_a_draining_server_answers_with_connection_close",
     ),
     mutant.one(
-        "work-for-nobody",
+        "ignore-a-disconnect",
         "http1/server.py",
         "        if self._work is not None:\n            self._work.cancel()\n",
         "",
-        "http1/test_server.py::test_a_caller_that_leaves_cancels_its_request",
+        "http1/test_server.py::test_a_disconnect_cancels_the_request",
     ),
     mutant.one(
         "run-old-batches",
