--- a/src/turmericlug/membership/mesh.py
+++ b/src/turmericlug/membership/mesh.py
@@ -14,7 +14,7 @@
 
 _CHECKS_PER_SILENCE_LIMIT = 3
 _IDLE_LIMIT_S = 30.0
-"""Links without traffic for this long are closed, to bound the number of open links."""
+"""Links without requests for this long are closed, to bound the number of open links."""
 
 
 class Mesh:
--- a/src/turmericlug/wire/__init__.py
+++ b/src/turmericlug/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol between daemons: Cap'n Proto messages in length-prefixed frames."""
+"""Peer protocol between daemons: Cap'n Proto messages in length-prefixed frames."""
--- a/src/turmericlug/wire/codec.py
+++ b/src/turmericlug/wire/codec.py
@@ -1,4 +1,4 @@
-"""Encoding of peer messages: Cap'n Proto envelopes in frames with a length before them."""
+"""Encoding of peer messages: Cap'n Proto envelopes in length-prefixed frames."""
 
 from __future__ import annotations
 
@@ -13,64 +13,66 @@
 PROTOCOL_VERSION = 1
 MAX_FRAME_BYTES = 8 << 20
 _LENGTH = struct.Struct("<I")
-# A frame is traversed once or twice; the limit, in words, stops an amplifying message.
+# A frame is traversed once or twice; the limit, in words, rejects amplification attacks.
 _TRAVERSAL_LIMIT_WORDS = 4 * MAX_FRAME_BYTES // 8
 
 Envelope = typing.Any
 
 
 class FrameError(Exception):
-    """Bytes from a peer that are not a frame of this protocol."""
+    """Bytes from a peer are not a valid frame of this protocol."""
 
 
 def envelope(request_id: int) -> Envelope:
-    """Make an empty envelope; the caller sets one member of its union."""
+    """Create an empty envelope; the caller sets one member of its union."""
     message = schema.Envelope.new_message()
     message.requestId = request_id
     return message
 
 
 def fill(message: Envelope, kind: str, **fields: typing.Any) -> None:
-    """Set a struct of the union, which has to be made before its fields can be set."""
+    """Initialise the struct ``kind`` of the union and set its fields."""
     member = message.init(kind)
     for name, value in fields.items():
         setattr(member, name, value)
 
 
 def encode(message: Envelope) -> bytes:
-    """Turn an envelope into one frame."""
+    """Encode an envelope as one frame."""
     body = message.to_bytes()
     return _LENGTH.pack(len(body)) + body
 
 
 def decode(body: bytes) -> Envelope:
     """
-    Read an envelope from a frame's body.
+    Decode an envelope from a frame's body.
 
     :raises FrameError: the body is not a well-formed envelope
     """
     try:
-        # Entered and never left: leaving would free the bytes that the message still points into.
+        # The context is never exited: __exit__ would free the bytes that the message refers to.
         message = schema.Envelope.from_bytes(
             body, traversal_limit_in_words=_TRAVERSAL_LIMIT_WORDS
         ).__enter__()
         message.which()
-    except Exception as error:  # the library raises its own type for each kind of damage
+    except (
+        Exception
+    ) as error:  # the library raises a separate type for each kind of malformed input
         raise FrameError(str(error).splitlines()[0]) from error
     return message
 
 
 class FrameReader:
-    """Cuts a byte stream into frames without copying what has not yet arrived whole."""
+    """Split a byte stream into frames; incomplete frames are not copied."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
         """
-        Add bytes, return the bodies of all frames complete by now.
+        Add received bytes and return the bodies of all complete frames.
 
-        :raises FrameError: a length no frame may have, as random or hostile bytes show
+        :raises FrameError: a frame length is invalid, as in random or hostile input
         """
         self._buffer += data
         bodies = []
@@ -78,7 +80,9 @@
         while len(self._buffer) - start >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(self._buffer, start)
             if not 8 <= length <= MAX_FRAME_BYTES or length % 8:
-                raise FrameError(f"a frame of {length} bytes")
+                raise FrameError(
+                    f"frame length {length} is not a multiple of 8 from 8 bytes to 8 MiB"
+                )
             end = start + _LENGTH.size + length
             if len(self._buffer) < end:
                 break
--- a/src/turmericlug/wire/handshake.py
+++ b/src/turmericlug/wire/handshake.py
@@ -1,4 +1,4 @@
-"""Proof between two daemons that both hold the cluster key and speak the same protocol."""
+"""Handshake between daemons: checks protocol version and cluster key."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class HandshakeError(Exception):
-    """The other side was not accepted, or did not accept us; ``reason`` names why."""
+    """The handshake failed on either side; ``reason`` says why."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -24,13 +24,13 @@
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, key: str, instance: str
 ) -> str:
     """
-    Check a peer that connected to us.
+    Authenticate a peer that connected to this instance.
 
-    A peer of another cluster must not reach the queues: a wrong key shows as a wrong proof. The
-    nonce is fresh for each connection, so a recorded handshake does not open another one.
+    A peer of another cluster must not reach the queues; with a different key its proof is wrong.
+    The nonce is new for each connection, so a recorded handshake cannot be replayed.
 
     :param key: the cluster key
-    :param instance: our name
+    :param instance: the name of this instance
     :returns: the peer's name
     :raises HandshakeError: ``wrong_protocol``, ``wrong_key``, ``malformed``, ``closed`` or
         ``timeout``
@@ -45,7 +45,7 @@
         instance=instance,
     )
     writer.write(codec.encode(challenge))
-    message = await _read_one(reader)
+    message = await _read_frame(reader)
     if message.which() != "hello":
         raise HandshakeError("malformed")
     hello = message.hello
@@ -68,12 +68,12 @@
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, key: str, instance: str
 ) -> str:
     """
-    Introduce ourselves to a peer that we connected to.
+    Authenticate this instance to a peer that it connected to.
 
     :returns: the peer's name
-    :raises HandshakeError: as the peer says, or ``malformed``, ``closed`` or ``timeout``
+    :raises HandshakeError: the peer's reason, or ``malformed``, ``closed`` or ``timeout``
     """
-    message = await _read_one(reader)
+    message = await _read_frame(reader)
     if message.which() != "challenge":
         raise HandshakeError("malformed")
     challenge = message.challenge
@@ -86,7 +86,7 @@
         instance=instance,
     )
     writer.write(codec.encode(hello))
-    answer = await _read_one(reader)
+    answer = await _read_frame(reader)
     if answer.which() == "rejected":
         raise HandshakeError(answer.rejected)
     if answer.which() != "welcome":
@@ -94,8 +94,8 @@
     return answer.welcome
 
 
-async def _read_one(reader: asyncio.StreamReader) -> codec.Envelope:
-    """Read exactly one frame; nothing follows it before our answer."""
+async def _read_frame(reader: asyncio.StreamReader) -> codec.Envelope:
+    """Read exactly one frame; the peer sends nothing more before the next answer."""
     try:
         async with asyncio.timeout(TIMEOUT_S):
             length = int.from_bytes(await reader.readexactly(4), "little")
--- a/src/turmericlug/wire/link.py
+++ b/src/turmericlug/wire/link.py
@@ -1,4 +1,4 @@
-"""A link to one peer: one task that connects, reads straight down and connects again."""
+"""A link to one peer: one task that connects, reads replies and reconnects."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class LinkError(Exception):
-    """A peer did not answer; ``sent`` tells whether the request may have reached it."""
+    """A request got no reply; ``sent`` is false if it certainly did not reach the peer."""
 
     def __init__(self, reason: str, sent: bool) -> None:
         super().__init__(reason)
@@ -33,21 +33,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConnectionLost:
-    """The connection broke while a request was open."""
+    """The connection was lost while a request was open."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerSilent:
-    """The peer has said nothing for too long while a request was open; it may yet answer."""
+    """The peer sent nothing for the silence limit with a request open; it may still reply."""
 
 
 LinkEvent = ConnectionLost | PeerSilent
 OnReply = abc.Callable[[typing.Any], bool]
-"""Takes a reply or a ``LinkEvent``; returns true once nothing more is expected."""
+"""Receives a reply or a ``LinkEvent``; returns true when the request is complete."""
 
 
 class Link:
-    """Our connection to one peer, with the requests open on it."""
+    """The connection to one peer and its open requests."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         self._instance = instance
         self._counters = counters
         self._outbox: outbox.Outbox | None = None
-        self._open: dict[int, tuple[OnReply, float]] = {}
+        self._open_requests: dict[int, tuple[OnReply, float]] = {}
         self._request_id = 0
         self._up = asyncio.Event()
         self._pinged_at_s = 0.0
@@ -74,12 +74,12 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether a connection stands."""
+        """Whether the link is connected."""
         return self._outbox is not None
 
     def idle_s(self) -> float:
-        """Return for how long nothing was sent and nothing is waited for."""
-        return 0.0 if self._open else time.monotonic() - self._used_at_s
+        """Return the time since the last request; 0 while a request is open."""
+        return 0.0 if self._open_requests else time.monotonic() - self._used_at_s
 
     async def run(self) -> None:
         """Keep the link connected until cancelled."""
@@ -87,7 +87,7 @@
         while True:
             started_at_s = time.monotonic()
             try:
-                await self._connected()
+                await self._connect_and_read()
             except handshake.HandshakeError as error:
                 self._counters.add(f"peer.rejected.{error.reason}")
                 events.emit("peer.not_accepted", "warning", to=self.address, reason=error.reason)
@@ -98,7 +98,7 @@
             await asyncio.sleep(delay_s * (0.5 + random.random()))
             delay_s = min(delay_s * 2, _BACKOFF_S[1])
 
-    async def _connected(self) -> None:
+    async def _connect_and_read(self) -> None:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(
                 *self.address, limit=_READ_BYTES, local_addr=self._source
@@ -106,51 +106,51 @@
         try:
             self.peer = await handshake.introduce(reader, writer, self._key, self._instance)
             self._outbox = outbox.Outbox(writer, self._counters)
-            self._heard()
+            self._record_contact()
             self._up.set()
             await self._read(reader)
         finally:
             self._up.clear()
             self._outbox = None
             writer.transport.abort()
-            self._tell_all(ConnectionLost())
-            self._open.clear()
+            self._notify_open_requests(ConnectionLost())
+            self._open_requests.clear()
 
     async def _read(self, reader: asyncio.StreamReader) -> None:
         frames = codec.FrameReader()
         while data := await reader.read(_READ_BYTES):
-            self._heard()
+            self._record_contact()
             for body in frames.feed(data):
-                self._deliver(codec.decode(body))
+                self._dispatch_reply(codec.decode(body))
 
-    def _heard(self) -> None:
+    def _record_contact(self) -> None:
         self.heard_at_s = time.monotonic()
         self.silent = False
 
-    def _deliver(self, message: codec.Envelope) -> None:
-        # A reply to a request that is closed, cancelled or was never sent belongs to nobody: a
-        # late or duplicated frame must not end up as another caller's answer.
-        entry = self._open.get(message.requestId)
+    def _dispatch_reply(self, message: codec.Envelope) -> None:
+        # Discard a reply to a request that is complete, cancelled or was never sent: a late or
+        # duplicated frame must not be taken for the reply to another caller's request.
+        entry = self._open_requests.get(message.requestId)
         if entry is None:
             if message.which() != "pong":
                 self._counters.add("peer.unasked_reply")
             return
         if entry[0](message):
-            self._open.pop(message.requestId, None)
+            self._open_requests.pop(message.requestId, None)
 
-    def _tell_all(self, note: LinkEvent) -> None:
-        for request_id, (on_reply, _) in list(self._open.items()):
-            if on_reply(note):
-                self._open.pop(request_id, None)
+    def _notify_open_requests(self, event: LinkEvent) -> None:
+        for request_id, (on_reply, _) in list(self._open_requests.items()):
+            if on_reply(event):
+                self._open_requests.pop(request_id, None)
 
     def send(self, fill: abc.Callable[[codec.Envelope], None], on_reply: OnReply) -> int:
         """
         Send a request.
 
         :param fill: sets the envelope's union
-        :param on_reply: gets each reply, and ``ConnectionLost`` or ``PeerSilent``
-        :returns: the request's number, for :meth:`cancel`
-        :raises LinkError: no connection stands; the request was not sent
+        :param on_reply: receives each reply, and ``ConnectionLost`` or ``PeerSilent``
+        :returns: the request ID, for :meth:`cancel`
+        :raises LinkError: the link is not connected; the request was not sent
         """
         if self._outbox is None:
             raise LinkError("not_connected", sent=False)
@@ -158,12 +158,12 @@
         message = codec.envelope(self._request_id)
         fill(message)
         self._used_at_s = time.monotonic()
-        self._open[self._request_id] = (on_reply, self._used_at_s)
+        self._open_requests[self._request_id] = (on_reply, self._used_at_s)
         self._outbox.put(message)
         return self._request_id
 
     def send_one_way(self, fill: abc.Callable[[codec.Envelope], None]) -> None:
-        """Send a message that has no reply, if a connection stands."""
+        """Send a message without a reply; does nothing while the link is not connected."""
         if self._outbox is not None:
             self._request_id += 1
             message = codec.envelope(self._request_id)
@@ -171,8 +171,8 @@
             self._outbox.put(message)
 
     def cancel(self, request_id: int) -> None:
-        """Tell the peer that nobody waits for this request any more."""
-        if self._open.pop(request_id, None) is not None and self._outbox is not None:
+        """Cancel an open request at the peer."""
+        if self._open_requests.pop(request_id, None) is not None and self._outbox is not None:
             message = codec.envelope(request_id)
             message.cancel = None
             self._outbox.put(message)
@@ -181,9 +181,9 @@
         self, fill: abc.Callable[[codec.Envelope], None], timeout_s: float
     ) -> codec.Envelope:
         """
-        Send a request and wait for its one reply, also for the connection to be made.
+        Wait for the connection, send a request and wait for its single reply.
 
-        :raises LinkError: with ``sent`` false when it certainly did not reach the peer
+        :raises LinkError: ``sent`` is false if the request certainly did not reach the peer
         """
         deadline_s = time.monotonic() + timeout_s
         future: asyncio.Future[codec.Envelope] = asyncio.get_running_loop().create_future()
@@ -209,7 +209,7 @@
         except TimeoutError as error:
             raise LinkError("timeout", sent=True) from error
         finally:
-            self._open.pop(request_id, None)
+            self._open_requests.pop(request_id, None)
         if isinstance(message, ConnectionLost):
             raise LinkError("connection_lost", sent=True)
         if message.which() == "fault":
@@ -218,20 +218,22 @@
 
     def check_silence(self, limit_s: float) -> None:
         """
-        Ping a peer that owes replies and says nothing, and tell its requests when it stays silent.
+        Ping a silent peer with open requests, and notify the requests after ``limit_s``.
 
-        A frozen owner keeps its connections open, so that nothing but silence tells; the probes of
-        the membership take a second or more to find it, longer than a dispatcher's deadline.
+        A frozen owner keeps its connections open, so only silence reveals it. The failure
+        detector's probes take a second or more to find it, longer than a dispatcher's deadline.
 
-        :param limit_s: silence that counts as frozen
+        :param limit_s: time without received bytes after which the peer counts as frozen
         """
-        if not self._open or self._outbox is None:
+        if not self._open_requests or self._outbox is None:
             return
         now_s = time.monotonic()
-        since_s = max(self.heard_at_s, min(sent_at_s for _, sent_at_s in self._open.values()))
+        since_s = max(
+            self.heard_at_s, min(sent_at_s for _, sent_at_s in self._open_requests.values())
+        )
         if now_s - since_s > limit_s:
             self.silent = True
-            self._tell_all(PeerSilent())
+            self._notify_open_requests(PeerSilent())
         elif now_s - since_s > limit_s / 3 and now_s - self._pinged_at_s > limit_s / 3:
             self._pinged_at_s = now_s
             message = codec.envelope(0)
@@ -241,6 +243,6 @@
 
 @contextlib.asynccontextmanager
 async def opened(link: Link) -> abc.AsyncIterator[Link]:
-    """Run a link's task for the length of the block."""
+    """Run a link's task within the block."""
     async with tasks.background(link.run()):
         yield link
--- a/src/turmericlug/wire/outbox.py
+++ b/src/turmericlug/wire/outbox.py
@@ -1,4 +1,4 @@
-"""Frames on their way out: one write per turn of the event loop, however many frames."""
+"""Batching of outgoing frames: one write per event loop iteration."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from turmericlug.telemetry import counters as counters_module
 from turmericlug.wire import codec
 
-# A peer that reads this slowly is frozen or cut off; its memory must not become ours.
+# A peer with this much unsent data is frozen or partitioned; bounds the memory per connection.
 MAX_UNSENT_BYTES = 32 << 20
 
 
 class Outbox:
-    """Gathers frames for one connection."""
+    """Collect the outgoing frames of one connection."""
 
     def __init__(
         self, writer: asyncio.StreamWriter, counters: counters_module.Counters | None = None
@@ -22,7 +22,7 @@
         self._counters = counters
 
     def put(self, message: codec.Envelope) -> None:
-        """Send an envelope with the next write."""
+        """Queue an envelope for the next write."""
         if not self._frames:
             asyncio.get_running_loop().call_soon(self._flush)
         self._frames.append(codec.encode(message))
--- a/src/turmericlug/wire/peer.capnp
+++ b/src/turmericlug/wire/peer.capnp
@@ -1,6 +1,6 @@
 @0xd1c7b0a5f3e84261;
-# Messages between daemons. Each frame is one Envelope. Times are milliseconds unless the name
-# says otherwise; a deadline travels as the time that remains, since clocks are not shared.
+# Messages between daemons. Each frame contains one Envelope. Times are in milliseconds unless the
+# name has another unit; deadlines are sent as remaining time, since clocks are not synchronised.
 
 struct Envelope {
   requestId @0 :UInt64;
@@ -27,9 +27,9 @@
     statusReply @19 :Text;
     fault @20 :Text;
     targetLeaving @21 :Text;
-    # Names a target that takes no new work; sent to the next owners of its service, no reply.
+    # A target that accepts no new work; sent to the next owners of its service, no reply.
     suspects @22 :Data;
-    # Requests under which targets ended, as suspects.capnp has them; no reply.
+    # Requests that were in flight when targets crashed, encoded as in suspects.capnp; no reply.
   }
 }
 
@@ -37,13 +37,13 @@
 struct Hello { protocol @0 :UInt16; proof @1 :Data; instance @2 :Text; incarnation @3 :UInt64; }
 
 struct Stamp {
-  # What the sender has in force, and how long ago it was known to be the newest.
+  # The revisions that the sender has applied, and the age of the evidence that they are newest.
   rulesRevision @0 :UInt64;
   catalogRevision @1 :UInt64;
   evidenceAgeMs @2 :UInt32;
   loadPermille @3 :UInt16;
   storeEra @4 :UInt64;
-  # How often the store has returned from a copy, as far as the sender knows; 0: not known.
+  # Number of restores of the store from a backup that the sender knows of; 0: unknown.
 }
 
 struct Member {
@@ -56,12 +56,12 @@
   dataCentre @6 :Text;
   loadPermille @7 :UInt16;
   ready @8 :Bool;
-  # Whether it has the newest configuration, and so serves callers and owns services.
+  # Whether it has the newest configuration and may serve callers and own services.
   enum State { alive @0; suspect @1; leaving @2; dead @3; }
 }
 
 struct Probe { stamp @0 :Stamp; about @1 :Text; whole @2 :Bool; news @3 :List(Member); }
-# An empty "about" probes the receiver; a name asks the receiver to probe that instance.
+# With an empty "about" the receiver itself is probed, otherwise it probes the named instance.
 struct ProbeReply { stamp @0 :Stamp; reached @1 :Bool; news @2 :List(Member); }
 
 struct PartsRequest {
@@ -91,7 +91,7 @@
   body @5 :Data;
   attempts @6 :UInt8;
   waitMs @7 :Float32;
-  # How long a new part of the same caller and priority would wait in the owner's queue now.
+  # Current queueing delay at the owner for a new part of the same caller and priority.
   enum Outcome { answered @0; refused @1; failed @2; snapshotAbsent @3; }
 }
 
@@ -102,7 +102,7 @@
   documents @1 :List(Document);
   members @2 :List(Text);
   remainingMs @3 :UInt32;
-  # Within which the sender wants the confirmations of all members.
+  # Time within which the sender expects the confirmations of all members.
 }
 struct SpreadReply { unconfirmed @0 :List(Text); }
 
--- a/src/turmericlug/wire/server.py
+++ b/src/turmericlug/wire/server.py
@@ -1,4 +1,4 @@
-"""The listening side: one task per peer connection, requests handed to named handlers."""
+"""Server for peers: one task per connection, requests dispatched to handlers by kind."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @attrs.define(slots=True)
 class Request:
-    """One request of a peer, as its handler sees it."""
+    """A request of a peer, as passed to its handler."""
 
     peer: str
     message: codec.Envelope
@@ -40,7 +40,7 @@
 
 
 class Server:
-    """Handlers by message kind, and the connections they serve."""
+    """Handlers by message kind, and the connections of peers."""
 
     def __init__(self, key: str, instance: str, counters: counters_module.Counters) -> None:
         self.handlers: dict[str, Handler] = {}
@@ -50,7 +50,7 @@
         self.tasks = tasks.Tasks()
 
     def connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve a new connection in a task of its own."""
+        """Serve a new connection in its own task."""
         if len(self.tasks) >= MAX_CONNECTIONS:
             self._counters.add("peer.rejected.too_many")
             writer.transport.abort()
@@ -66,7 +66,7 @@
         except handshake.HandshakeError as error:
             self._counters.add(f"peer.rejected.{error.reason}")
             events.emit("peer.rejected", "warning", address=address, reason=error.reason)
-            await _drained(writer)
+            await _flush_rejection(writer)
         except codec.FrameError as error:
             self._counters.add("peer.rejected.bad_frame")
             events.emit("peer.bad_frame", "warning", address=address, reason=str(error))
@@ -96,14 +96,14 @@
                     if request is not None and request.cancelled is not None:
                         request.cancelled()
                     continue
-                # A frame that arrives twice would run a request twice; the numbers of one
-                # connection only rise, so that the second copy shows and ends the connection.
+                # A duplicated frame would run a request twice. Request IDs strictly increase on a
+                # connection, so a duplicate is detected and closes the connection.
                 if message.requestId and message.requestId <= newest:
-                    raise codec.FrameError("a request number that was used before")
+                    raise codec.FrameError("request ID was already used on this connection")
                 newest = max(newest, message.requestId)
-                self._hand_over(str(kind), Request(peer, message, box), requests)
+                self._dispatch(str(kind), Request(peer, message, box), requests)
 
-    def _hand_over(self, kind: str, request: Request, requests: dict[int, Request]) -> None:
+    def _dispatch(self, kind: str, request: Request, requests: dict[int, Request]) -> None:
         handler = self.handlers.get(kind)
         if handler is None:
             request.reply(lambda envelope: setattr(envelope, "fault", "unknown_request"))
@@ -120,7 +120,7 @@
 
 @contextlib.asynccontextmanager
 async def listening(server: Server, host: str, port: int) -> abc.AsyncIterator[Server]:
-    """Accept peers for the length of the block."""
+    """Accept connections of peers within the block."""
     listener = await asyncio.start_server(server.connected, host, port, limit=_READ_BYTES)
     try:
         yield server
@@ -129,8 +129,8 @@
         await server.tasks.close()
 
 
-async def _drained(writer: asyncio.StreamWriter) -> None:
-    """Give the peer a moment to read why it was refused."""
+async def _flush_rejection(writer: asyncio.StreamWriter) -> None:
+    """Give the peer time to read the reason for the rejection."""
     with contextlib.suppress(OSError, TimeoutError):
         async with asyncio.timeout(1):
             await writer.drain()
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -66,13 +66,13 @@
     strategies.randoms(use_true_random=False),
 )
 @hypothesis.settings(derandomize=True)
-def test_views_converge_in_any_order(states, rng):
+def test_views_converge_in_any_order(updates, rng):
     ends = set()
     for _ in range(3):
         view = members.Members(member("me"))
-        rng.shuffle(states)
-        for state in states:
-            view.merge(member("peer", *state))
+        rng.shuffle(updates)
+        for update in updates:
+            view.merge(member("peer", *update))
         ends.add(view.by_instance["peer"])
     assert len(ends) == 1
 
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -14,7 +14,7 @@
 
 
 @hypothesis.given(strategies.integers(1, 7), strategies.integers(1, 40))
-def test_frames_in_any_pieces(count, size):
+def test_frames_split_at_any_offset(count, size):
     stream = b"".join(frame(number) for number in range(count))
     reader, found = codec.FrameReader(), []
     for start in range(0, len(stream), size):
@@ -24,7 +24,7 @@
 
 @hypothesis.given(strategies.binary(max_size=400))
 @hypothesis.settings(max_examples=400, derandomize=True)
-def test_random_bytes_give_messages_or_frame_errors(data):
+def test_random_bytes_decode_or_raise_frame_error(data):
     reader = codec.FrameReader()
     try:
         for body in reader.feed(data):
@@ -35,7 +35,7 @@
 
 @hypothesis.given(strategies.binary(min_size=8, max_size=200), strategies.integers(0, 30))
 @hypothesis.settings(max_examples=300, derandomize=True)
-def test_damaged_messages(noise, at):
+def test_corrupted_messages(noise, at):
     body = bytearray(frame(9)[4:])
     body[at : at + len(noise)] = noise
     try:
@@ -46,6 +46,6 @@
 
 
 @pytest.mark.parametrize("length", [0, 7, 12, codec.MAX_FRAME_BYTES + 8, 0xFFFFFFFF])
-def test_impossible_lengths(length):
+def test_invalid_frame_lengths(length):
     with pytest.raises(codec.FrameError):
         codec.FrameReader().feed(length.to_bytes(4, "little"))
--- a/tests/wire/test_link.py
+++ b/tests/wire/test_link.py
@@ -1,4 +1,4 @@
-"""A link and a server over real sockets: handshake, matching, silence, replayed numbers."""
+"""A link and a server over real sockets: handshake, reply matching, silence, reconnection."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     asyncio.run(main())
 
 
-def test_wrong_key_is_refused_with_its_reason():
+def test_wrong_key_is_rejected_with_its_reason():
     async def main():
         async with pair({"ping": reply_pong}, key="another-key-of-sixteen") as (link, counters):
             with pytest.raises(link_module.LinkError) as caught:
@@ -55,7 +55,7 @@
     asyncio.run(main())
 
 
-def test_timeout_may_have_been_sent_and_late_reply_is_dropped():
+def test_timed_out_request_may_have_been_sent_and_late_reply_is_dropped():
     async def late(request):
         await asyncio.sleep(0.2)
         reply_pong(request)
@@ -66,46 +66,46 @@
                 await link.ask(lambda envelope: setattr(envelope, "status", None), 0.1)
             assert caught.value.sent
             await asyncio.sleep(0.3)
-            assert not link._open
+            assert not link._open_requests
 
     asyncio.run(main())
 
 
-def test_silence_is_told_and_ends_with_the_next_word():
-    """The peer's process is frozen: open requests hear of it, and new ones see it silent."""
-    notes = []
+def test_silence_is_reported_and_ends_with_the_next_bytes():
+    """A frozen peer keeps its connection open; open requests are notified, the link is silent."""
+    events = []
 
     async def main():
         async with pair({"status": lambda request: None}) as (link, _):
             await link._up.wait()
 
             def on_reply(message):
-                notes.append(message)
+                events.append(message)
                 return False
 
             link.send(lambda envelope: setattr(envelope, "status", None), on_reply)
             await asyncio.sleep(0.1)
             link.check_silence(0.05)
-            assert link.silent and notes == [link_module.PeerSilent()]
-            link._heard()
+            assert link.silent and events == [link_module.PeerSilent()]
+            link._record_contact()
             assert not link.silent
 
     asyncio.run(main())
 
 
-def test_lost_connection_is_told_and_made_again():
-    notes = []
+def test_lost_connection_is_reported_and_reopened():
+    events = []
 
     async def main():
         async with pair({"status": lambda request: None, "ping": reply_pong}) as (link, _):
             await link._up.wait()
             fill = lambda envelope: setattr(envelope, "status", None)  # noqa: E731
-            link.send(fill, lambda message: notes.append(message) or True)
+            link.send(fill, lambda message: events.append(message) or True)
             await asyncio.sleep(0.05)
             link._outbox._writer.transport.abort()
-            while not notes:
+            while not events:
                 await asyncio.sleep(0.001)
             assert (await link.ask(ping, 2)).which() == "pong"
-            assert notes == [link_module.ConnectionLost()]
+            assert events == [link_module.ConnectionLost()]
 
     asyncio.run(main())
