--- a/src/turmericlug/membership/detector.py
+++ b/src/turmericlug/membership/detector.py
@@ -100,12 +100,14 @@
     async def _probe(self, instance: str) -> None:
         if await self._probe_once(instance, ""):
             return
-        helpers = [member.instance for member in self.members.peers()]
-        helpers = [name for name in helpers if name != instance]
-        chosen = random.sample(helpers, min(_INDIRECT_PROBES, len(helpers)))
-        if chosen:
-            found = await asyncio.gather(*(self._probe_once(name, instance) for name in chosen))
-            if any(found):
+        others = [member.instance for member in self.members.peers()]
+        others = [name for name in others if name != instance]
+        intermediaries = random.sample(others, min(_INDIRECT_PROBES, len(others)))
+        if intermediaries:
+            results = await asyncio.gather(
+                *(self._probe_once(name, instance) for name in intermediaries)
+            )
+            if any(results):
                 return
         if self.members.mark(instance, members_module.SUSPECT):
             self._counters.add("membership.suspected")
@@ -121,19 +123,19 @@
 
     async def _exchange(self, link: link_module.Link, instance: str, about: str) -> bool:
         """Probe the link's peer, or ask it to probe the instance ``about``."""
-        asked_at_s = time.monotonic()
+        requested_at_s = time.monotonic()
 
         def fill(envelope: typing.Any) -> None:
             probe = envelope.init("probe")
             probe.stamp = self.stamp()
             probe.about = about
             probe.whole = self._wants_full_list(instance)
-            news = self.members.take_updates()
+            updates = self.members.take_updates()
             known = self.members.by_instance.get(instance)
             if known is not None and known.state != members_module.ALIVE:
                 # Include the suspicion of the probed instance, so that it can refute it.
-                news.append(known)
-            probe.news = members_module.to_wire(news)
+                updates.append(known)
+            probe.news = members_module.to_wire(updates)
 
         try:
             reply = await link.ask(fill, self._timeout_s * (2 if about else 1))
@@ -142,7 +144,7 @@
         if reply.which() != "probeReply":
             return False
         self._merge_updates(reply.probeReply.news)
-        self._record_stamp(link.peer, reply.probeReply.stamp, asked_at_s)
+        self._record_stamp(link.peer, reply.probeReply.stamp, requested_at_s)
         if not about:
             self._suspects.pop(instance, None)
         return bool(reply.probeReply.reached)
@@ -163,20 +165,20 @@
                 # member is declared dead even if the instance that suspected it fails too.
                 self._suspects.setdefault(member.instance, time.monotonic())
 
-    def _record_stamp(self, peer: str, stamp: typing.Any, asked_at_s: float) -> None:
+    def _record_stamp(self, peer: str, stamp: typing.Any, requested_at_s: float) -> None:
         self.eras.heard(stamp.storeEra)
         revisions = freshness_module.Revisions(stamp.rulesRevision, stamp.catalogRevision)
-        self._freshness.record_peer_reply(asked_at_s, revisions, stamp.evidenceAgeMs)
+        self._freshness.record_peer_reply(requested_at_s, revisions, stamp.evidenceAgeMs)
         if not self._freshness.held.covers(revisions):
             self.on_newer_revisions(peer)
 
     def _expire_suspicions(self) -> None:
         now_s = time.monotonic()
-        for instance, since_s in list(self._suspects.items()):
+        for instance, suspected_at_s in list(self._suspects.items()):
             member = self.members.by_instance.get(instance)
             if member is None or member.state in (members_module.ALIVE, members_module.DEAD):
                 del self._suspects[instance]
-            elif now_s - since_s > self._suspicion_s:
+            elif now_s - suspected_at_s > self._suspicion_s:
                 del self._suspects[instance]
                 self.members.mark(instance, members_module.DEAD)
                 self._counters.add("membership.died")
@@ -237,8 +239,10 @@
             reply = envelope.init("probeReply")
             reply.stamp = self.stamp()
             reply.reached = reached
-            news = list(self.members.by_instance.values()) if whole else self.members.take_updates()
-            reply.news = members_module.to_wire(news)
+            updates = (
+                list(self.members.by_instance.values()) if whole else self.members.take_updates()
+            )
+            reply.news = members_module.to_wire(updates)
 
         request.reply(fill)
 
--- a/src/turmericlug/membership/freshness.py
+++ b/src/turmericlug/membership/freshness.py
@@ -67,13 +67,13 @@
         if self._covers_newest(revisions):
             self._store_evidence_at_s = max(self._store_evidence_at_s, began_at_s)
 
-    def record_peer_reply(self, asked_at_s: float, revisions: Revisions, age_ms: int) -> None:
+    def record_peer_reply(self, requested_at_s: float, revisions: Revisions, age_ms: int) -> None:
         """Record a peer's revisions and the age of its evidence at the time of its reply."""
         if self._covers_newest(revisions):
-            self._peer_evidence_at_s = max(self._peer_evidence_at_s, asked_at_s)
+            self._peer_evidence_at_s = max(self._peer_evidence_at_s, requested_at_s)
             if revisions == self.held:
                 self._store_evidence_at_s = max(
-                    self._store_evidence_at_s, asked_at_s - age_ms / 1000
+                    self._store_evidence_at_s, requested_at_s - age_ms / 1000
                 )
 
     def _covers_newest(self, revisions: Revisions) -> bool:
--- a/src/turmericlug/membership/members.py
+++ b/src/turmericlug/membership/members.py
@@ -121,20 +121,20 @@
 
         The number rises with the backlog, as when a whole data centre fails.
         """
-        room = min(
+        count = min(
             max(_UPDATES_PER_MESSAGE, len(self._pending_updates) // 4), _MAX_UPDATES_PER_MESSAGE
         )
-        told = sorted(self._pending_updates, key=self._pending_updates.__getitem__, reverse=True)[
-            :room
-        ]
-        news = [self.own]
-        for instance in told:
+        selected = sorted(
+            self._pending_updates, key=self._pending_updates.__getitem__, reverse=True
+        )[:count]
+        updates = [self.own]
+        for instance in selected:
             self._pending_updates[instance] -= 1
             if not self._pending_updates[instance]:
                 del self._pending_updates[instance]
             if instance != self.own.instance and instance in self.by_instance:
-                news.append(self.by_instance[instance])
-        return news
+                updates.append(self.by_instance[instance])
+        return updates
 
     def _set(self, member: Member) -> None:
         self.by_instance[member.instance] = member
@@ -164,7 +164,7 @@
     :param members: the candidate instances
     """
 
-    def weight(member: Member) -> tuple[bool, int]:
+    def rank_key(member: Member) -> tuple[bool, int]:
         score = xxhash.xxh3_64_intdigest(f"{service}\0{member.instance}".encode())
         return member.data_centre == data_centre, score
 
@@ -172,7 +172,7 @@
     # Callers use only the first few; with enough local candidates, a large fleet's remote
     # instances need no score.
     candidates = local if len(local) >= MAX_RANKED_OWNERS else members
-    return heapq.nlargest(MAX_RANKED_OWNERS, candidates, key=weight)
+    return heapq.nlargest(MAX_RANKED_OWNERS, candidates, key=rank_key)
 
 
 def probe_set(own: str, peers: list[Member]) -> list[str]:
@@ -184,10 +184,10 @@
     probability that one of 4,700 has no prober is exp(-PROBED_PEERS); gossip still reaches it.
     """
 
-    def weight(member: Member) -> int:
+    def rank_key(member: Member) -> int:
         return xxhash.xxh3_64_intdigest(f"probe\0{own}\0{member.instance}".encode())
 
-    return [each.instance for each in heapq.nlargest(PROBED_PEERS, peers, key=weight)]
+    return [each.instance for each in heapq.nlargest(PROBED_PEERS, peers, key=rank_key)]
 
 
 def to_wire(members: list[Member]) -> list[dict[str, typing.Any]]:
