--- a/src/turmericlug_lab/slopes.py
+++ b/src/turmericlug_lab/slopes.py
@@ -53,7 +53,7 @@
     tracemalloc.start()
     view = members_module.Members(own)
     for number in range(_MEMBERS):
-        view.learn(attrs.evolve(own, instance=f"instance-{number}", host=f"10.0.{number}.1"))
+        view.merge(attrs.evolve(own, instance=f"instance-{number}", host=f"10.0.{number}.1"))
     members_bytes, _ = tracemalloc.get_traced_memory()
     text = json.dumps(
         {
