--- a/src/turmericlug/owner/owner.py
+++ b/src/turmericlug/owner/owner.py
@@ -78,13 +78,13 @@
         centre = limits.data_centre if limits else ""
         members = self._mesh.members
         if joining:
-            return members_module.owners(service, centre, [*members.serving(), *joining])
+            return members_module.rank_owners(service, centre, [*members.serving(), *joining])
         version = (members.version, self._config.catalog_revision)
         if version != self._ranked_at:
             self._rankings.clear()
             self._ranked_at = version
         if service not in self._rankings:
-            self._rankings[service] = members_module.owners(service, centre, members.serving())
+            self._rankings[service] = members_module.rank_owners(service, centre, members.serving())
         return self._rankings[service]
 
     def owns(self, service: str, joining: tuple[members_module.Member, ...] = ()) -> bool:
@@ -277,7 +277,7 @@
         for member in self.ranking(service)[: _STANDBY_OWNERS + 1]:
             link = self._mesh.link(member.instance)
             if link is not None and member.instance != self._mesh.members.own.instance:
-                link.tell(lambda envelope: setattr(envelope, "targetLeaving", name))
+                link.send_one_way(lambda envelope: setattr(envelope, "targetLeaving", name))
 
     def _peer_names(self) -> list[str]:
         own = self._mesh.members.own.instance
@@ -288,14 +288,14 @@
         for name in gossip.recipients(self._peer_names(), self._rng):
             link = self._mesh.link(name)
             if link is not None:
-                link.tell(lambda envelope: setattr(envelope, "suspects", content))
+                link.send_one_way(lambda envelope: setattr(envelope, "suspects", content))
 
     def on_suspects(self, request: server_module.Request) -> None:
         """Merge the suspected requests reported by a peer."""
         answer = self.suspects.merge_message(request.message.suspects)
         link = self._mesh.link(request.peer)
         if answer is not None and link is not None:
-            link.tell(lambda envelope: setattr(envelope, "suspects", answer))
+            link.send_one_way(lambda envelope: setattr(envelope, "suspects", answer))
 
     def on_target_leaving(self, request: server_module.Request) -> None:
         """Mark a target as draining that another owner reports."""
--- a/src/turmericlug/query/fan_out.py
+++ b/src/turmericlug/query/fan_out.py
@@ -148,9 +148,9 @@
         unanswered = set(numbers)
 
         def on_reply(message: typing.Any) -> bool:
-            if isinstance(message, link_module.Silent | link_module.Lost):
+            if isinstance(message, link_module.PeerSilent | link_module.ConnectionLost):
                 self._on_link_note(message, unanswered)
-                return isinstance(message, link_module.Lost)
+                return isinstance(message, link_module.ConnectionLost)
             self._on_message(message, unanswered)
             return not unanswered
 
@@ -166,7 +166,7 @@
             self._parts[number].unresolved_owners += 1
         self._cancel_callbacks.append(lambda: link.cancel(request_id))
 
-    def _on_link_note(self, note: link_module.Note, unanswered: set[int]) -> None:
+    def _on_link_note(self, note: link_module.LinkEvent, unanswered: set[int]) -> None:
         """
         Submit the open parts of a silent or lost owner to the next one, if they are repeatable.
 
@@ -178,7 +178,7 @@
             if open_numbers:
                 self._counters.add("query.moved_parts", len(open_numbers))
                 self._send_to_next_owner(open_numbers, "owner_lost")
-        elif isinstance(note, link_module.Lost):
+        elif isinstance(note, link_module.ConnectionLost):
             for number in open_numbers:
                 self._close_part(number, "owner_lost")
         self._changed.set()
