--- a/src/turmericlug/platform/store.py
+++ b/src/turmericlug/platform/store.py
@@ -64,7 +64,7 @@
 
 
 class Store:
-    """Implements ``news.Source`` with the platform's store."""
+    """Implements ``source.Source`` with the platform's store."""
 
     def __init__(self, host: str, port: int, counters: counters_module.Counters) -> None:
         self._host = host
