--- a/src/turmericlug/wire/codec.py
+++ b/src/turmericlug/wire/codec.py
@@ -31,7 +31,7 @@
 
 
 def fill(message: Envelope, kind: str, **fields: typing.Any) -> None:
-    """Initialise the struct ``kind`` of the union and set its fields."""
+    """Set the fields of the struct ``kind`` of the union; it must be initialised before that."""
     member = message.init(kind)
     for name, value in fields.items():
         setattr(member, name, value)
@@ -55,9 +55,7 @@
             body, traversal_limit_in_words=_TRAVERSAL_LIMIT_WORDS
         ).__enter__()
         message.which()
-    except (
-        Exception
-    ) as error:  # the library raises a separate type for each kind of malformed input
+    except Exception as error:  # the library has a type of its own for each malformed input
         raise FrameError(str(error).splitlines()[0]) from error
     return message
 
