--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -81,7 +81,7 @@
     names: header_names_module.HeaderNames
     source: abc.Callable[[settings_module.Source, counters_module.Counters], source_module.Source]
     resolve_handler: abc.Callable[[directory_module.Directory], messages.Handler]
-    decode: relay_codec.Decode
+    decode_value: relay_codec.Decode
     ready_handler: abc.Callable[[abc.Callable[[], bool]], messages.Handler]
 
 
@@ -232,7 +232,7 @@
     view, source, counters = (kernel.find(name) for name in ("view", "source", "counters"))
     relayed = relay.RelayedSource(
         source,
-        kernel.find("adapter").decode,
+        kernel.find("adapter").decode_value,
         _place(kernel.find("settings")),
         view.peers,
         counters,
--- a/src/turmericlug/entry/differences.py
+++ b/src/turmericlug/entry/differences.py
@@ -13,10 +13,10 @@
 
 def between(known: Known, snapshot: source.Snapshot) -> source.Changes:
     """Return the changes that lead from the known entries to a fresh snapshot."""
-    present = {written.key for written in snapshot.written}
+    present = {written.key for written in snapshot.entries}
     written = [
         each
-        for each in snapshot.written
+        for each in snapshot.entries
         if each.key not in known or _is_change(each, known[each.key])
     ]
     removed = [
--- a/src/turmericlug/entry/follower.py
+++ b/src/turmericlug/entry/follower.py
@@ -74,10 +74,10 @@
                     "source.read",
                     era=snapshot.era,
                     revision=snapshot.revision,
-                    entries=len(snapshot.written),
+                    entries=len(snapshot.entries),
                     stale_allowed=stale_allowed,
                 )
-                _report_unreadable(snapshot.written, counters)
+                _report_unreadable(snapshot.entries, counters)
                 _update_journal(snapshot, view, journal)
                 view.apply_snapshot(snapshot)
                 position = snapshot.position
@@ -202,11 +202,11 @@
     while True:
         try:
             if registration.lease is None:
-                registration.lease = await source.lease(LEASE_S)
+                registration.lease = await source.open_lease(LEASE_S)
                 registration.era = max(source.era, view.era)
                 registration.written = False
             if registration.written:
-                await source.keep(registration.lease)
+                await source.renew_lease(registration.lease)
             else:
                 await source.register(own, registration.lease)
                 if source.era > registration.era:
@@ -269,7 +269,7 @@
 async def _end_lease(source: source_module.Source, lease: int) -> None:
     try:
         async with asyncio.timeout(1.0):
-            await source.end(lease)
+            await source.end_lease(lease)
         decisions.log("instance.unregistered", lease=lease)
     except (source_module.SourceError, source_module.LeaseEndedError, TimeoutError) as error:
         decisions.log("instance.unregister_failed", reason=str(error) or "timeout")
--- a/src/turmericlug/entry/source.py
+++ b/src/turmericlug/entry/source.py
@@ -107,7 +107,7 @@
 class Snapshot:
     """All entries, and the revision from which to request changes."""
 
-    written: tuple[Written | Unreadable, ...]
+    entries: tuple[Written | Unreadable, ...]
     revision: int
     """The revision of the oldest page; single entries may be newer."""
     era: int = 0
@@ -167,13 +167,13 @@
     async def changes(self, after: Position, wait_s: float) -> Changes:
         """Wait for changes after a position; return none if the wait time elapses."""
 
-    async def lease(self, ttl_s: float) -> int:
+    async def open_lease(self, ttl_s: float) -> int:
         """Open a lease."""
 
-    async def keep(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         """Renew a lease."""
 
-    async def end(self, lease: int) -> None:
+    async def end_lease(self, lease: int) -> None:
         """End a lease, which removes its keys."""
 
     async def register(self, instance: EntryInstance, lease: int) -> None:
--- a/src/turmericlug/entry/view.py
+++ b/src/turmericlug/entry/view.py
@@ -136,10 +136,10 @@
     def apply_snapshot(self, snapshot: source.Snapshot) -> None:
         """Apply a full snapshot; entries missing from it have been removed."""
         self._update_era(snapshot.era)
-        present = {written.key for written in snapshot.written}
+        present = {written.key for written in snapshot.entries}
         missing = [key for key in self._known if key not in present]
-        differences.log_outdated(self._known, snapshot.written, snapshot.revision)
-        for written in snapshot.written:
+        differences.log_outdated(self._known, snapshot.entries, snapshot.revision)
+        for written in snapshot.entries:
             self._apply(written)
         self._handle_removed([key for key in missing if key not in self._held], snapshot.revision)
 
--- a/src/turmericlug/platform/store.py
+++ b/src/turmericlug/platform/store.py
@@ -93,9 +93,9 @@
         if operators.position < snapshot.position:
             return await self._read_pages("", may_be_stale=False)
         others = [
-            each for each in snapshot.written if not each.key.startswith(names.OPERATORS_PREFIX)
+            each for each in snapshot.entries if not each.key.startswith(names.OPERATORS_PREFIX)
         ]
-        return attrs.evolve(snapshot, written=(*others, *operators.written))
+        return attrs.evolve(snapshot, entries=(*others, *operators.entries))
 
     async def _read_pages(self, prefix: str, may_be_stale: bool) -> source.Snapshot:
         written: list[source.Written | source.Unreadable] = []
@@ -152,12 +152,12 @@
                 changes.append(change)
         return source.Changes(tuple(changes), answer.body["AsOf"], era=answer.era)
 
-    async def lease(self, ttl_s: float) -> int:
+    async def open_lease(self, ttl_s: float) -> int:
         """Open a lease."""
         answer = await self._call(b"POST", "kv-lease", {"TtlMs": int(ttl_s * 1000)})
         return answer.body["Lease"]
 
-    async def keep(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         """
         Renew a lease.
 
@@ -165,7 +165,7 @@
         """
         await self._call(b"POST", f"kv-keep/{lease}", {})
 
-    async def end(self, lease: int) -> None:
+    async def end_lease(self, lease: int) -> None:
         """End a lease."""
         await self._call(b"DELETE", f"kv-lease-end/{lease}", None)
 
--- a/tests/entry/test_follower.py
+++ b/tests/entry/test_follower.py
@@ -70,7 +70,7 @@
         self.asked_after.append(after.revision)
         return await self._step("changes")
 
-    async def lease(self, ttl_s):
+    async def open_lease(self, ttl_s):
         self.leases_opened += 1
         return self.leases_opened
 
@@ -79,11 +79,11 @@
             await self._step("register")
         self.registered.append(lease)
 
-    async def keep(self, lease):
+    async def renew_lease(self, lease):
         self.kept.append(lease)
         await self._step("keep")
 
-    async def end(self, lease):
+    async def end_lease(self, lease):
         self.ended.append(lease)
 
 
@@ -260,7 +260,7 @@
     source, now_s = Source(), [0.0]
     attempted_s = []
 
-    async def keep(lease):
+    async def renew_lease(lease):
         attempted_s.append(now_s[0])
         if len(attempted_s) == 4:
             raise asyncio.CancelledError
@@ -271,7 +271,7 @@
         now_s[0] += duration_s
 
     async def main():
-        source.keep = keep
+        source.renew_lease = renew_lease
         monkeypatch.setattr(asyncio.get_running_loop(), "time", lambda: now_s[0], raising=False)
         monkeypatch.setattr(follower.asyncio, "sleep", sleep)
         with pytest.raises(asyncio.CancelledError):
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -42,7 +42,7 @@
             write_entries(standin, 5)
             standin.page = page
             snapshot = await store.read_all(may_be_stale=False)
-            assert len(snapshot.written) == 6
+            assert len(snapshot.entries) == 6
             assert snapshot.revision == standin.revision
 
     asyncio.run(main())
@@ -118,7 +118,7 @@
     waiting = asyncio.create_task(store.changes(after, 20.0))
     await asyncio.sleep(0.05)
     restore(standin)
-    await store.lease(3.0)
+    await store.open_lease(3.0)
     async with asyncio.timeout(1.0):
         return await waiting
 
@@ -134,7 +134,7 @@
 async def _after_known_restore(standin, store, after):
     """Watch after another call has received the new era."""
     restore(standin, past=0)
-    await store.lease(3.0)
+    await store.open_lease(3.0)
     async with asyncio.timeout(1.0):
         return await store.changes(after, 20.0)
 
@@ -166,7 +166,7 @@
                 await watch(standin, store, snapshot.position)
             again = await store.read_all(may_be_stale=False)
             assert again.era == snapshot.era + 1
-            assert {each.era for each in again.written} == {again.era}
+            assert {each.era for each in again.entries} == {again.era}
 
     asyncio.run(main())
 
@@ -204,7 +204,7 @@
             for version in range(writes):
                 standin.put("op/config", standin_platform.configuration(10 + version, [], []))
             snapshot = await store.read_all(may_be_stale=True)
-            found = {each.key: each for each in snapshot.written}
+            found = {each.key: each for each in snapshot.entries}
             assert found["op/config"].value.version == 9 + writes
             assert "op/evacuate/dc-1" not in found
             assert len(found) == (5 if writes > 4 else 3)
@@ -235,7 +235,7 @@
             await store.read_all(may_be_stale=False)
             standin.era_header = b"0"
             with pytest.raises(source.SourceError) as error:
-                await store.lease(3.0)
+                await store.open_lease(3.0)
             assert error.value.reason == "older_era"
 
     asyncio.run(main())
@@ -244,14 +244,14 @@
 def test_registration_ends_with_its_lease():
     async def main():
         async with connected() as (standin, store):
-            lease = await store.lease(3.0)
+            lease = await store.open_lease(3.0)
             await store.register(OWN, lease)
-            (written,) = (await store.read_all(may_be_stale=False)).written
+            (written,) = (await store.read_all(may_be_stale=False)).entries
             assert written.value == OWN
-            await store.keep(lease)
-            await store.end(lease)
-            assert (await store.read_all(may_be_stale=False)).written == ()
-            for call in (store.keep(lease), store.register(OWN, lease)):
+            await store.renew_lease(lease)
+            await store.end_lease(lease)
+            assert (await store.read_all(may_be_stale=False)).entries == ()
+            for call in (store.renew_lease(lease), store.register(OWN, lease)):
                 with pytest.raises(source.LeaseEndedError):
                     await call
 
@@ -267,8 +267,8 @@
 
     async def main():
         async with connected() as (standin, store):
-            await store.register(OWN, await store.lease(8.0))
-            (entry,) = (await store.read_all(may_be_stale=False)).written
+            await store.register(OWN, await store.open_lease(8.0))
+            (entry,) = (await store.read_all(may_be_stale=False)).entries
             assert entry.lease in standin.leases
             if written_again:
                 await store.register(OWN, entry.lease)
@@ -302,13 +302,13 @@
 
     async def main():
         async with connected() as (standin, store):
-            lease = await store.lease(3.0)
+            lease = await store.open_lease(3.0)
             standin.fault = fault
             with pytest.raises(source.SourceError) as error:
                 await store._call(b"POST", f"kv-keep/{lease}", {}, timeout_s=0.1)
             assert error.value.reason == reason
             standin.fault = None
-            await store.keep(lease)
+            await store.renew_lease(lease)
 
     asyncio.run(main())
 
@@ -323,7 +323,7 @@
             standin.put("op/config", value)
             standin.put("servers/i-9", value)
             snapshot = await store.read_all(may_be_stale=False)
-            kinds = {each.key: type(each) for each in snapshot.written}
+            kinds = {each.key: type(each) for each in snapshot.entries}
             assert kinds == {
                 "op/config": source.Unreadable,
                 "servers/i-0": source.Written,
