--- a/src/turmericlug/entry/batches.py
+++ b/src/turmericlug/entry/batches.py
@@ -18,8 +18,9 @@
 from turmericlug.http1 import messages
 from turmericlug.telemetry import decisions
 
-Part = asyncio.Task[sending.Outcome]
-Parts = dict[Part, str]
+PartTask = asyncio.Task[sending.Outcome]
+ShardByTask = dict[PartTask, str]
+"""The shard of each part, by the task that runs the part."""
 
 
 MAX_STALL_S = 0.03
@@ -77,7 +78,7 @@
     """
     loop = asyncio.get_running_loop()
     call = _make_call(batch, arrived_s, sender.names)
-    parts = {
+    shard_by_task = {
         loop.create_task(
             attempts.get_answer(
                 sender, call, shard, handover_data_centre=batch.data_centre, is_retry=batch.again
@@ -87,11 +88,13 @@
     }
     answer_at_s = min(arrived_s + batch.answer_in_ms / 1000, call.deadline_s)
     call.answer_at_s = answer_at_s
-    pending = set(parts)
+    pending = set(shard_by_task)
     with sender.quarantine.in_flight(call):
         try:
             done, pending = await asyncio.wait(pending, timeout=max(answer_at_s - loop.time(), 0.0))
-            answer = _make_answer(parts, done, batch, (loop.time() - arrived_s) * 1000, first=True)
+            answer = _make_answer(
+                shard_by_task, done, batch, (loop.time() - arrived_s) * 1000, first=True
+            )
             _log_first_answer(sender, call, batch, answer)
             yield handover_codec.encode_answer(answer, batch.shards)
             while pending and loop.time() < call.deadline_s:
@@ -101,7 +104,7 @@
                     return_when=asyncio.FIRST_COMPLETED,
                 )
                 answer = _make_answer(
-                    parts, done, batch, (loop.time() - arrived_s) * 1000, first=False
+                    shard_by_task, done, batch, (loop.time() - arrived_s) * 1000, first=False
                 )
                 yield handover_codec.encode_answer(answer, batch.shards)
         except (asyncio.CancelledError, GeneratorExit):
@@ -110,8 +113,8 @@
             call.abandon()
             raise
         finally:
-            for part in parts:
-                part.cancel()
+            for task in shard_by_task:
+                task.cancel()
             call.answered(timing.STUCK_AFTER_S)
 
 
@@ -128,7 +131,7 @@
         route=batch.route,
         shards=len(batch.shards),
         answered=len(answer.signatures),
-        failed=[f"{shard}: {each.reason}" for shard, each in answer.failures.items()][:5],
+        failed=[f"{shard}: {failure.reason}" for shard, failure in answer.failures.items()][:5],
         open=_stragglers(call, batch, answer),
         duration_ms=round(answer.spent_ms, 1),
         hedges=call.hedges,
@@ -181,13 +184,17 @@
 
 
 def _make_answer(
-    parts: Parts, done: set[Part], batch: handover_codec.Batch, spent_ms: float, first: bool
+    shard_by_task: ShardByTask,
+    done: set[PartTask],
+    batch: handover_codec.Batch,
+    spent_ms: float,
+    first: bool,
 ) -> handover_codec.Answer:
     signatures: dict[str, bytes] = {}
     failures: dict[str, handover_codec.Failure] = {}
     bodies = []
-    for part in done:
-        outcome, shard = part.result(), parts[part]
+    for task in done:
+        outcome, shard = task.result(), shard_by_task[task]
         if isinstance(outcome, sending.Answered):
             signatures[shard] = outcome.signature
             bodies.append(outcome.response.body)
--- a/src/turmericlug/entry/callers.py
+++ b/src/turmericlug/entry/callers.py
@@ -24,7 +24,7 @@
 from turmericlug.policy import slow_start
 from turmericlug.telemetry import decisions
 
-STALE_S = 2.5
+STALE_AGE_S = 2.5
 """Age of the source's data beyond which a path without a route may belong to a new route: the
 request is refused, so that the caller tries another instance, instead of being answered with 404.
 Updates relayed by another instance are up to 2.4 s old; the shortest time allowed until a new route
@@ -45,7 +45,7 @@
 class WeightedRoundRobin:
     """Distributes the requests of a route over its services in proportion to their weights."""
 
-    _debts: dict[tuple[routes.WeightedService, ...], list[float]] = attrs.field(factory=dict)
+    _deficits: dict[tuple[routes.WeightedService, ...], list[float]] = attrs.field(factory=dict)
 
     def pick(self, route: routes.Route, rng: random.Random) -> str:
         """
@@ -58,16 +58,16 @@
         if len(services) == 1:
             return services[0].service
         total = sum(weighted.weight for weighted in services)
-        debts = self._debts.get(services)
-        if debts is None:
-            # Random initial debts keep all instances from choosing the same service first.
-            debts = self._debts[services] = [
-                rng.random() * each.weight / total for each in services
+        deficits = self._deficits.get(services)
+        if deficits is None:
+            # Random initial deficits keep all instances from choosing the same service first.
+            deficits = self._deficits[services] = [
+                rng.random() * weighted.weight / total for weighted in services
             ]
         for index, weighted in enumerate(services):
-            debts[index] += weighted.weight / total
-        chosen = max(range(len(services)), key=lambda index: debts[index])
-        debts[chosen] -= 1.0
+            deficits[index] += weighted.weight / total
+        chosen = max(range(len(services)), key=lambda index: deficits[index])
+        deficits[chosen] -= 1.0
         return services[chosen].service
 
 
@@ -83,7 +83,7 @@
         self.view = view
         self.sender = sender
         self._refuse_from_s = math.inf
-        self._ends_at_s = math.inf
+        self._exits_at_s = math.inf
         self._source_age_s = source_age_s
         self._balancer = WeightedRoundRobin()
         self._stated_times: collections.defaultdict[str, caller_timeout.RemainingTimes] = (
@@ -109,38 +109,38 @@
         route = configuration.match(host, path)
         if route is None:
             return self._no_route(request, configuration, host, path)
-        route = route.restricted_to(self._key_regions(request, configuration))
+        route = route.restricted_to(self._allowed_regions(request, configuration))
         call = self._make_call(request, request_id, target, route, configuration.version)
         if self._may_be_interrupted(call):
             return attrs.evolve(self._refused(request, "leaving"), close=True)
         return await self._answer_call(call, request.caller_host)
 
-    def _key_regions(
+    def _allowed_regions(
         self, request: messages.Request, configuration: routes.Configuration
     ) -> frozenset[str] | None:
-        """Return the regions that the caller's organisation is restricted to, ``None`` if any."""
+        """Return the regions that the caller's organisation is restricted to, ``None`` for all."""
         if not configuration.key_regions:
             return None
         return configuration.key_regions.get(request.header(self.sender.names.organisation) or b"")
 
-    def leave(self, refuse_from_s: float, ends_at_s: float) -> None:
+    def start_draining(self, refuse_from_s: float, exits_at_s: float) -> None:
         """
         Begin draining: refuse requests that may still be in flight when the process exits.
 
         :param refuse_from_s: time until which every request is accepted
-        :param ends_at_s: time at which the process exits
+        :param exits_at_s: time at which the process exits
         """
-        self._refuse_from_s, self._ends_at_s = refuse_from_s, ends_at_s
+        self._refuse_from_s, self._exits_at_s = refuse_from_s, exits_at_s
 
     def _may_be_interrupted(self, call: sending.Call) -> bool:
         """
         Whether this process may exit before the request's deadline.
 
-        Requests with an earlier deadline are still accepted: refused as well, they would be
-        answered late after a retry, although there is time to answer them long before the exit.
+        Requests with an earlier deadline are still accepted: there is time to answer them long
+        before the exit, and if they were refused, they would be answered late after a retry.
         """
         now_s = asyncio.get_running_loop().time()
-        return now_s >= self._refuse_from_s and call.deadline_s > self._ends_at_s
+        return now_s >= self._refuse_from_s and call.deadline_s > self._exits_at_s
 
     def on_configured(self) -> None:
         """Wake requests that wait for the first configuration."""
@@ -151,12 +151,12 @@
         Wait for the first snapshot of an instance that has just started.
 
         Connections accepted while the program was loading all deliver their requests about 30 ms
-        before they can be served. Refused then, most of their callers retry only once.
+        before they can be served. If refused, most of their callers would retry only once.
         """
-        left_s = self._started_s + FIRST_SNAPSHOT_TIMEOUT_S - asyncio.get_running_loop().time()
-        if left_s > 0 and not self.view.source_unreachable:
+        timeout_s = self._started_s + FIRST_SNAPSHOT_TIMEOUT_S - asyncio.get_running_loop().time()
+        if timeout_s > 0 and not self.view.source_unreachable:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(left_s):
+                async with asyncio.timeout(timeout_s):
                     await self._configured.wait()
         return self.view.configuration
 
@@ -170,12 +170,16 @@
     ) -> sending.Call:
         names = self.sender.names
         dropped = (names.time_left, names.expected_instance, b"expect")
-        headers = [each for each in client.end_to_end(request.headers) if each[0] not in dropped]
-        left_ms = _time_left_ms(request.header(names.time_left))
-        stated = self._stated_times[route.name]
-        stated.add(left_ms)
+        headers = [
+            header for header in client.end_to_end(request.headers) if header[0] not in dropped
+        ]
+        remaining_ms = _remaining_ms(request.header(names.time_left))
+        remaining_times = self._stated_times[route.name]
+        remaining_times.add(remaining_ms)
         # Most callers of a route use the route's timeout as their own.
-        spent_ms = stated.spent_ms(left_ms, MAX_SPENT_SHARE * route.goal_ms, route.timeout_ms)
+        spent_ms = remaining_times.spent_ms(
+            remaining_ms, MAX_SPENT_SHARE * route.goal_ms, route.timeout_ms
+        )
         sent_s = request.arrived_s - request.way_back_s
         return sending.Call(
             request_id=request_id,
@@ -186,7 +190,7 @@
             route=route,
             version=version,
             began_s=min(request.began_s, sent_s - spent_ms / 1000),
-            deadline_s=min(sent_s + left_ms / 1000, request.began_s + route.timeout_ms / 1000),
+            deadline_s=min(sent_s + remaining_ms / 1000, request.began_s + route.timeout_ms / 1000),
             way_back_s=request.way_back_s,
             fingerprint=content.fingerprint(
                 request.method, target, headers, request.body, self.sender.names
@@ -228,9 +232,9 @@
 
     async def _query_shards(self, call: sending.Call) -> answering.Result:
         loop = asyncio.get_running_loop()
-        withheld = await trial.try_query(self.sender, call)
-        if withheld is not None:
-            return withheld
+        trial_result = await trial.try_query(self.sender, call)
+        if trial_result is not None:
+            return trial_result
         if not self._slow_start.try_acquire(loop.time()) and not await self._wait_for_slot(call):
             return answering.refusal(self.sender, STARTING, answering.overload_retry_after_s)
         in_time = False
@@ -317,10 +321,10 @@
         )
         return answering.refusal(self.sender, reason).answer
 
-    def _bad_request(self, request: messages.Request, lacking: str) -> messages.Answer:
-        self.sender.counters.add(f"entry.bad_request.{lacking}")
-        decisions.log("query.bad_request", lacking=lacking)
-        return messages.Answer(400, body=f"{lacking} is missing or repeated".encode())
+    def _bad_request(self, request: messages.Request, field: str) -> messages.Answer:
+        self.sender.counters.add(f"entry.bad_request.{field}")
+        decisions.log("query.bad_request", lacking=field)
+        return messages.Answer(400, body=f"{field} is missing or repeated".encode())
 
     def _no_route(
         self,
@@ -329,7 +333,7 @@
         host: str,
         path: str,
     ) -> messages.Answer:
-        if self._source_age_s() > STALE_S:
+        if self._source_age_s() > STALE_AGE_S:
             return self._refused(request, "route_perhaps_new")
         self.sender.counters.add("entry.no_route")
         decisions.log(
@@ -346,11 +350,11 @@
     """Return the path and query of a request target, which may be in absolute form."""
     if target.startswith(b"/"):
         return target
-    _, found, rest = target.partition(b"://")
-    return b"/" + rest.partition(b"/")[2] if found else target
+    _, separator, rest = target.partition(b"://")
+    return b"/" + rest.partition(b"/")[2] if separator else target
 
 
-def _time_left_ms(value: bytes | None) -> float:
+def _remaining_ms(value: bytes | None) -> float:
     """
     Return the remaining time that the caller states.
 
--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -51,7 +51,7 @@
 
 RESERVED_DESCRIPTORS = 900
 """File descriptors not available to callers' connections: 200 for files, the others for connections
-to replicas and the store, and for listeners."""
+to replicas and the source, and for listeners."""
 MAX_PEER_CONNECTIONS = 16
 """Maximum number of batches in flight to one instance; a query has one for each region."""
 HOUSEKEEPING_INTERVAL_S = 0.1
@@ -69,7 +69,7 @@
 MIN_DRAIN_S = 2.5
 """A draining instance without connections exits after this time, which is longer than callers cache
 its address (2 s)."""
-_COLLECT_THRESHOLDS = (20_000, 20, 50)
+_GC_THRESHOLDS = (20_000, 20, 50)
 
 Kernel = kernel_module.Kernel
 
@@ -81,7 +81,7 @@
     names: header_names_module.HeaderNames
     source: abc.Callable[[settings_module.Source, counters_module.Counters], source_module.Source]
     resolve_handler: abc.Callable[[directory_module.Directory], messages.Handler]
-    decode_value: relay_codec.Decode
+    decode_value: relay_codec.DecodeValue
     ready_handler: abc.Callable[[abc.Callable[[], bool]], messages.Handler]
 
 
@@ -101,7 +101,7 @@
     # milliseconds, so their objects are excluded and collections made rare.
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*_COLLECT_THRESHOLDS)
+    gc.set_threshold(*_GC_THRESHOLDS)
     asyncio.run(_serve(settings, adapter, settings_file, early_listener))
     decisions.flush()
 
@@ -164,7 +164,7 @@
         configuration = view.configuration
         service = configuration.services.get(entry.service) if configuration else None
         max_connections = service.max_connections if service else entry.slots
-        senders = min(view.instances_count(), placement.MAX_DIRECT_SENDERS)
+        senders = min(view.instance_count(), placement.MAX_DIRECT_SENDERS)
         return pool_module.connection_limit(max_connections, senders)
 
     def on_unexpected_bytes(entry: routes.ReplicaEntry) -> None:
@@ -259,7 +259,7 @@
         kernel.find("adapter").names,
         kernel.find("counters"),
         send_tasks,
-        view.instances_count,
+        view.instance_count,
         handover.Handover(peers),
         is_shard=lambda service: (
             view.configuration is not None and service in view.configuration.shards
@@ -283,7 +283,7 @@
         sender.quarantine.enabled = bool(policy.quarantine)
 
     live.on_policy = on_policy
-    view.on_instances = peers.clear_owner_cache
+    view.on_instances_changed = peers.clear_owner_cache
     view.replicas.on_lost = sender.quarantine.on_replica_lost
     kernel.provide("sender", sender)
     gossip = suspects.SuspectGossip(
@@ -373,13 +373,13 @@
     caller_server.leave()
     await kernel.find("registration").close()
     refuse_at_s = began_s + REFUSE_AFTER_SHARE * grace_s
-    end_s = began_s + grace_s - EXIT_MARGIN_S
-    handler.leave(refuse_at_s, end_s)
-    unregistered = follower.stay_unregistered(
+    exit_at_s = began_s + grace_s - EXIT_MARGIN_S
+    handler.start_draining(refuse_at_s, exit_at_s)
+    deregistered = follower.stay_deregistered(
         kernel.find("source"), kernel.find("view"), kernel.find("settings").entry.name
     )
-    async with tasks.background(unregistered):
-        while loop.time() < end_s:
+    async with tasks.background(deregistered):
+        while loop.time() < exit_at_s:
             if loop.time() >= began_s + MIN_DRAIN_S and not caller_server.connections:
                 break
             await asyncio.sleep(0.05)
--- a/src/turmericlug/entry/deregistration.py
+++ b/src/turmericlug/entry/deregistration.py
@@ -43,10 +43,10 @@
             # This instance itself is cut off, or has just resumed after a pause.
             continue
         silent = relayed.silent_instances(loop.time())
-        entries = [*view.entries(silent), *_reappeared(view, removed_entries)][:MAX_BATCH]
+        entries = [*view.instance_entries(silent), *_reappeared(view, removed_entries)][:MAX_BATCH]
         if not entries:
             continue
-        names = [each.value.name for each in entries]
+        names = [entry.value.name for entry in entries]
         try:
             removed = await source.remove(entries)
         except (source_module.SourceError, source_module.LeaseEndedError) as error:
@@ -55,7 +55,7 @@
         counters.add("instance.missed", len(entries) if removed else 0)
         decisions.log("instance.missed", names=names, taken_out=removed)
         for name, entry in zip(names, entries, strict=True):
-            relayed.attendance.forget(name)
+            relayed.peer_liveness.forget(name)
             removed_entries[name] = entry
             if len(removed_entries) > MAX_REMEMBERED:
                 removed_entries.popitem(last=False)
@@ -66,9 +66,9 @@
 ) -> list[source_module.Written]:
     """Return the removed entries that a later era holds again, unchanged."""
     return [
-        each
-        for each in view.entries(removed_entries)
-        if each.era > removed_entries[each.value.name].era
-        and (each.revision, each.value)
-        == (removed_entries[each.value.name].revision, removed_entries[each.value.name].value)
+        entry
+        for entry in view.instance_entries(removed_entries)
+        if entry.era > removed_entries[entry.value.name].era
+        and (entry.revision, entry.value)
+        == (removed_entries[entry.value.name].revision, removed_entries[entry.value.name].value)
     ]
--- a/src/turmericlug/entry/differences.py
+++ b/src/turmericlug/entry/differences.py
@@ -15,14 +15,14 @@
     """Return the changes that lead from the known entries to a fresh snapshot."""
     present = {written.key for written in snapshot.entries}
     written = [
-        each
-        for each in snapshot.entries
-        if each.key not in known or _is_change(each, known[each.key])
+        entry
+        for entry in snapshot.entries
+        if entry.key not in known or _is_change(entry, known[entry.key])
     ]
     removed = [
         source.Removed(key, snapshot.revision, snapshot.era) for key in known if key not in present
     ]
-    changes = sorted([*written, *removed], key=lambda each: each.position)
+    changes = sorted([*written, *removed], key=lambda change: change.position)
     return source.Changes(tuple(changes), snapshot.revision, era=snapshot.era)
 
 
@@ -40,14 +40,18 @@
 
     :param revision: the revision up to which the source has reported changes
     """
-    found = [each for each in changes if each.key in known and _is_outdated(each, known[each.key])]
-    if found:
+    outdated = [
+        change
+        for change in changes
+        if change.key in known and _is_outdated(change, known[change.key])
+    ]
+    if outdated:
         decisions.log(
             "view.passed_over",
-            count=len(found),
-            key=found[-1].key,
-            revision=found[-1].revision,
-            known_revision=known[found[-1].key].revision,
+            count=len(outdated),
+            key=outdated[-1].key,
+            revision=outdated[-1].revision,
+            known_revision=known[outdated[-1].key].revision,
             told_revision=revision,
         )
 
--- a/src/turmericlug/entry/directory.py
+++ b/src/turmericlug/entry/directory.py
@@ -24,7 +24,7 @@
 
     view: view_module.View
     own_name: str = ""
-    leaving: abc.Callable[[], bool] = lambda: False
+    is_draining: abc.Callable[[], bool] = lambda: False
     """Whether this instance is draining; it then omits itself, as the other instances do."""
     lifetime_s: float = LIFETIME_S
 
@@ -39,11 +39,15 @@
         """
         all_instances = self.view.instances.values()
         others = [
-            each for each in all_instances if not (self.leaving() and each.name == self.own_name)
+            instance
+            for instance in all_instances
+            if not (self.is_draining() and instance.name == self.own_name)
         ]
-        instances = sorted(others or all_instances, key=lambda each: each.name)
-        same_data_centre = [each for each in instances if each.data_centre == data_centre]
-        same_region = [each for each in instances if each.region == region]
+        instances = sorted(others or all_instances, key=lambda instance: instance.name)
+        same_data_centre = [
+            instance for instance in instances if instance.data_centre == data_centre
+        ]
+        same_region = [instance for instance in instances if instance.region == region]
         anywhere = self._in_allowed_regions(instances, region, host) or instances
         for candidates in (same_data_centre, same_region):
             if len(candidates) >= MIN_ADDRESSES:
@@ -56,8 +60,12 @@
         allowed = configuration.regions_of(host) if configuration is not None else None
         if allowed is None:
             return instances
-        return [each for each in instances if each.region in allowed or each.region == region]
+        return [
+            instance
+            for instance in instances
+            if instance.region in allowed or instance.region == region
+        ]
 
 
 def _addresses(instances: Instances) -> list[str]:
-    return [each.address for each in instances[:MAX_ADDRESSES]]
+    return [instance.address for instance in instances[:MAX_ADDRESSES]]
--- a/src/turmericlug/entry/follower.py
+++ b/src/turmericlug/entry/follower.py
@@ -28,9 +28,9 @@
 """Delay after a failure: short compared with the time within which a configuration has to be in
 force, and random so that instances that lost the source together do not reconnect together."""
 LEASE_S = 8.0
-"""How long callers are given the address of an instance that has ended while no other instance in
-its data centre can deregister it. The lease outlasts a source outage of 5 s; otherwise all
-instances would have to register again after one."""
+"""Time for which callers are still given the address of an instance that has ended, if no other
+instance in its data centre can deregister it. The lease outlasts a source outage of 5 s; otherwise
+all instances would have to register again after one."""
 RENEWAL_INTERVAL_S = 2.6
 """About a third of the lease, so that one renewal may fail."""
 RELAY_RENEWAL_INTERVAL_S = 0.8
@@ -45,7 +45,9 @@
 
 async def follow(
     source: source_module.Source,
-    changes_of: abc.Callable[[source_module.Position, float], abc.Awaitable[source_module.Changes]],
+    request_changes: abc.Callable[
+        [source_module.Position, float], abc.Awaitable[source_module.Changes]
+    ],
     view: view_module.View,
     journal: journal_module.Journal,
     counters: counters_module.Counters,
@@ -58,18 +60,18 @@
     a stale read costs the source a tenth of a fresh one. Later snapshots have to be fresh, because
     entries missing from them are treated as removed.
 
-    :param changes_of: requests the changes after a position, from the source or a nearby instance
+    :param request_changes: requests the changes after a position, from the source or a relay
     :param journal: receives all changes, to serve them to other instances
     """
     position: source_module.Position | None = None
-    known = False
+    has_snapshot = False
     while True:
         try:
             if position is None:
-                stale_allowed = not known
+                stale_allowed = not has_snapshot
                 snapshot = await source.read_all(may_be_stale=stale_allowed)
-                known = True
-                view.source_regained()
+                has_snapshot = True
+                view.record_source_answer()
                 decisions.log(
                     "source.read",
                     era=snapshot.era,
@@ -81,14 +83,14 @@
                 _update_journal(snapshot, view, journal)
                 view.apply_snapshot(snapshot)
                 position = snapshot.position
-            changes = await changes_of(position, CHANGES_WAIT_S)
-            view.source_regained(changes.age_s)
+            changes = await request_changes(position, CHANGES_WAIT_S)
+            view.record_source_answer(changes.age_s)
             _report_unreadable(changes.changes, counters)
             view.apply_changes(changes)
             journal.add(changes)
             position = max(changes.position, position)
-            many = not placement.all_send_directly(view.instances_count())
-            await asyncio.sleep(CHANGES_INTERVAL_MANY_S if many else CHANGES_INTERVAL_S)
+            many_instances = not placement.all_send_directly(view.instance_count())
+            await asyncio.sleep(CHANGES_INTERVAL_MANY_S if many_instances else CHANGES_INTERVAL_S)
         except source_module.HistoryLostError:
             if position is not None:
                 decisions.log("source.history_lost", after=position.revision, era=position.era)
@@ -96,7 +98,7 @@
             position = None
         except source_module.SourceError as error:
             counters.add(f"source.error.{error.reason}")
-            view.source_lost(error.reason)
+            view.record_source_failure(error.reason)
             await asyncio.sleep(rng.uniform(RETRY_MIN_S, RETRY_MAX_S))
 
 
@@ -118,16 +120,19 @@
 def _report_unreadable(
     changes: abc.Iterable[source_module.Change], counters: counters_module.Counters
 ) -> None:
-    for each in changes:
-        if isinstance(each, source_module.Unreadable):
+    for change in changes:
+        if isinstance(change, source_module.Unreadable):
             counters.add("source.unreadable")
             decisions.log(
-                "source.unreadable", key=each.key, revision=each.revision, reason=each.reason
+                "source.unreadable", key=change.key, revision=change.revision, reason=change.reason
             )
-        elif isinstance(each, source_module.Written) and each.ignored:
-            counters.add("source.fields_ignored", len(each.ignored))
+        elif isinstance(change, source_module.Written) and change.ignored:
+            counters.add("source.fields_ignored", len(change.ignored))
             decisions.log(
-                "source.fields_ignored", key=each.key, revision=each.revision, fields=each.ignored
+                "source.fields_ignored",
+                key=change.key,
+                revision=change.revision,
+                fields=change.ignored,
             )
 
 
@@ -180,9 +185,11 @@
             succeeded = await _renew(source, view, own, registration)
             jitter = rng.uniform(0.8, 1.2)
             while not (view.own_entry_removed or registration.is_older_than(view.era)):
-                every_s = RENEWAL_RETRY_S if not succeeded else RENEWAL_INTERVAL_S
-                every_s = min(every_s, RELAY_RENEWAL_INTERVAL_S) if serves_peers() else every_s
-                left_s = attempted_s + every_s * jitter - loop.time()
+                interval_s = RENEWAL_RETRY_S if not succeeded else RENEWAL_INTERVAL_S
+                interval_s = (
+                    min(interval_s, RELAY_RENEWAL_INTERVAL_S) if serves_peers() else interval_s
+                )
+                left_s = attempted_s + interval_s * jitter - loop.time()
                 if left_s <= 0:
                     break
                 await asyncio.sleep(min(left_s, CHECK_INTERVAL_S))
@@ -215,24 +222,24 @@
                     continue
                 registration.written = True
                 decisions.log("instance.registered", lease=registration.lease)
-            view.source_regained()
+            view.record_source_answer()
             return True
         except source_module.LeaseEndedError:
             decisions.log("instance.lease_ended", lease=registration.lease)
             registration.lease = None
         except source_module.SourceError as error:
-            view.source_lost(error.reason)
+            view.record_source_failure(error.reason)
             return False
 
 
-async def stay_unregistered(
+async def stay_deregistered(
     source: source_module.Source, view: view_module.View, name: str
 ) -> None:
     """Remove this instance's entry again if the source is restored from a copy that holds it."""
     ended_era = source.era
     while True:
         await asyncio.sleep(CHECK_INTERVAL_S)
-        entries = [each for each in view.entries([name]) if each.era > ended_era]
+        entries = [entry for entry in view.instance_entries([name]) if entry.era > ended_era]
         if not entries:
             continue
         try:
--- a/src/turmericlug/entry/inspection.py
+++ b/src/turmericlug/entry/inspection.py
@@ -71,7 +71,9 @@
         if path == STATUS_PATH:
             return _answer(status(name, view, ready()))
         if path == QUARANTINE_PATH:
-            return _answer({"requests": [attrs.asdict(each) for each in list_withheld(quarantine)]})
+            return _answer(
+                {"requests": [attrs.asdict(withheld) for withheld in list_withheld(quarantine)]}
+            )
         if path.startswith(QUARANTINE_PATH + b"/") and request.method == b"POST":
             return _lift(quarantine, path.removeprefix(QUARANTINE_PATH + b"/"))
         if path != EXPLAIN_PATH:
@@ -104,7 +106,7 @@
         )
         for request, record in quarantine.table.withheld(now_s)
     ]
-    return sorted(requests, key=lambda each: min(each.ends.values(), default=0.0))
+    return sorted(requests, key=lambda request: min(request.ends.values(), default=0.0))
 
 
 def _lift(quarantine: quarantine_module.Quarantine, content: bytes) -> messages.Answer:
@@ -120,14 +122,14 @@
 def status(name: str, view: view_module.View, ready: bool) -> Json:
     """Return the state of the instance as a whole."""
     now_s = asyncio.get_running_loop().time()
-    states = [_state(each, now_s) for each in view.replicas.all()]
+    states = [_state(replica, now_s) for replica in view.replicas.all()]
     return {
         "instance": name,
         "ready": ready,
         "configuration_version": _version(view),
         "source_age_s": view_module.rounded_age_s(view.source_age_s()),
         "instances": sorted(view.instances),
-        "instances_counted": view.instances_count(),
+        "instances_counted": view.instance_count(),
         "replicas": {state: states.count(state) for state in sorted(set(states))},
         "connections": view.replicas.connections(),
         "evacuated_age_s": {
@@ -135,9 +137,9 @@
             for data_centre, since_s in sorted(view.replicas.evacuated.items())
         },
         "cold_left_s": {
-            each.entry.instance: round(each.cold_until_s - now_s, 1)
-            for each in view.replicas.all()
-            if each.is_cold(now_s)
+            replica.entry.instance: round(replica.cold_until_s - now_s, 1)
+            for replica in view.replicas.all()
+            if replica.is_cold(now_s)
         },
     }
 
@@ -153,14 +155,14 @@
     }
     if route is None:
         return result
-    services = route.shards or tuple(each.service for each in route.services)
+    services = route.shards or tuple(weighted.service for weighted in route.services)
     return result | {
         "route": attrs.asdict(route)
         | {"regions": None if route.regions is None else sorted(route.regions)},
         "replicas": [
-            attrs.asdict(each)
+            attrs.asdict(replica_status)
             for service in services
-            for each in _replica_statuses(view, route, service)
+            for replica_status in _replica_statuses(view, route, service)
         ],
     }
 
@@ -171,16 +173,16 @@
     now_s = asyncio.get_running_loop().time()
     statuses = [
         ReplicaStatus(
-            each.entry.instance,
+            replica.entry.instance,
             service,
-            each.entry.data_centre,
-            _state(each, now_s),
-            len(each.sends),
-            round(view.replicas.expected_ms(each, route, now_s), 1),
+            replica.entry.data_centre,
+            _state(replica, now_s),
+            len(replica.sends),
+            round(view.replicas.expected_ms(replica, route, now_s), 1),
         )
-        for each in view.replicas.of(service)
+        for replica in view.replicas.of(service)
     ]
-    return sorted(statuses, key=lambda each: (each.state != "in use", each.expected_ms))
+    return sorted(statuses, key=lambda status: (status.state != "in use", status.expected_ms))
 
 
 def _state(replica: replica_module.Replica, now_s: float) -> str:
--- a/src/turmericlug/entry/journal.py
+++ b/src/turmericlug/entry/journal.py
@@ -67,8 +67,8 @@
             except TimeoutError:
                 pass
             position = max(self._position_for(after), after)
-        found = tuple(change for change in self._changes if change.position > after)
-        return source.Changes(found, position.revision, era=position.era)
+        changes = tuple(change for change in self._changes if change.position > after)
+        return source.Changes(changes, position.revision, era=position.era)
 
     def _position_for(self, after: source.Position) -> source.Position:
         """
--- a/src/turmericlug/entry/listeners.py
+++ b/src/turmericlug/entry/listeners.py
@@ -60,7 +60,7 @@
         (adapter.ready_handler(lambda: ready(kernel)), settings.entry.ready_address),
         (
             adapter.resolve_handler(
-                directory_module.Directory(view, settings.entry.name, lambda: _is_leaving(kernel))
+                directory_module.Directory(view, settings.entry.name, lambda: _is_draining(kernel))
             ),
             settings.entry.directory_address,
         ),
@@ -101,9 +101,10 @@
 def _peers_handler(kernel: Kernel) -> messages.Handler:
     run_batch = batches.handler(kernel.find("sender"))
     serve_updates = relay.handler(
-        kernel.find("journal"), kernel.find("view").source_age_s, kernel.find("relayed").attendance
+        kernel.find("journal"),
+        kernel.find("view").source_age_s,
+        kernel.find("relayed").peer_liveness,
     )
-
     exchange_suspects = suspects.handler(kernel.find("sender").quarantine, kernel.find("teller"))
 
     async def handle(request: messages.Request) -> messages.Answer:
@@ -118,8 +119,8 @@
 
 def ready(kernel: Kernel) -> bool:
     """Whether this instance accepts requests."""
-    return kernel.find("view").ready and not _is_leaving(kernel)
+    return kernel.find("view").ready and not _is_draining(kernel)
 
 
-def _is_leaving(kernel: Kernel) -> bool:
+def _is_draining(kernel: Kernel) -> bool:
     return kernel.find("callers").leaving
--- a/src/turmericlug/entry/metrics.py
+++ b/src/turmericlug/entry/metrics.py
@@ -21,16 +21,16 @@
 
 def text(counters: counters_module.Counters) -> str:
     """Format all counters and timers since the start."""
-    lines = [f"{_name(name)} {value}" for name, value in sorted(counters.totals.items())]
+    lines = [f"{_metric_name(name)} {value}" for name, value in sorted(counters.totals.items())]
     for name, values in sorted(counters.timers_ms().items()):
         for key, value in values.items():
             if key == "count":
-                lines.append(f"{_name(name)}_count {value:.0f}")
+                lines.append(f"{_metric_name(name)}_count {value:.0f}")
             else:
                 quantile = int(key[1:]) / 100
-                lines.append(f'{_name(name)}{{quantile="{quantile}"}} {value}')
+                lines.append(f'{_metric_name(name)}{{quantile="{quantile}"}} {value}')
     return "\n".join(lines) + "\n"
 
 
-def _name(name: str) -> str:
-    return "turmericlug_" + "".join(each if each.isalnum() else "_" for each in name)
+def _metric_name(name: str) -> str:
+    return "turmericlug_" + "".join(character if character.isalnum() else "_" for character in name)
--- a/src/turmericlug/entry/relay.py
+++ b/src/turmericlug/entry/relay.py
@@ -55,7 +55,7 @@
 def handler(
     journal: journal_module.Journal,
     source_age_s: abc.Callable[[], float],
-    attendance: liveness_module.PeerLiveness,
+    peer_liveness: liveness_module.PeerLiveness,
 ) -> messages.Handler:
     """Return the handler of requests for changes."""
 
@@ -65,7 +65,7 @@
         after = _position(position)
         if not (after and wait_ms.isdigit() and name):
             return messages.Answer(404)
-        attendance.record_contact(name.decode("latin-1"), asyncio.get_running_loop().time())
+        peer_liveness.record_contact(name.decode("latin-1"), asyncio.get_running_loop().time())
         try:
             # Reply as soon as the age limit is reached: an instance that waited a full second for a
             # relay just below the limit asked the source only 3 s after the relay had lost it, when
@@ -92,7 +92,7 @@
     """Recent failures of a relay."""
 
     in_a_row: int = 0
-    until_s: float = 0.0
+    skipped_until_s: float = 0.0
     """The time until which the relay is skipped."""
 
 
@@ -101,11 +101,11 @@
     """A source whose changes are requested from a relay where there is one."""
 
     source: source_module.Source
-    decode: relay_codec.Decode
+    decode_value: relay_codec.DecodeValue
     place: placement.Place
     peers: replicas_module.Replicas
     counters: counters_module.Counters
-    attendance: liveness_module.PeerLiveness
+    peer_liveness: liveness_module.PeerLiveness
     rng: random.Random = attrs.field(factory=random.Random)
     _failures: dict[str, _Failures] = attrs.field(factory=dict)
     _source_retry_at_s: float = 0.0
@@ -130,7 +130,7 @@
                 # A wait at the next relay would add to the time spent on this one.
                 relay_wait_s = 0.0
                 continue
-            if reply.lost:
+            if reply.history_lost:
                 # Only the source may know the changes from before the relay started.
                 break
             if reply.changes.age_s < MAX_AGE_S and reply.changes.era >= after.era:
@@ -146,7 +146,7 @@
         names = self._relay_names()
         if names[0] == self.place.name:
             return []
-        peers = {each.entry.instance: each for each in self.peers.of(self.place.data_centre)}
+        peers = {peer.entry.instance: peer for peer in self.peers.of(self.place.data_centre)}
         return [peers[name] for name in names if name in peers]
 
     def silent_instances(self, now_s: float) -> list[str]:
@@ -158,14 +158,14 @@
         second one as well; otherwise only the connection between the two relays is broken.
         """
         names = self._relay_names()
-        others = [each.entry.instance for each in self.peers.of(self.place.data_centre)]
+        others = [peer.entry.instance for peer in self.peers.of(self.place.data_centre)]
         if names[0] == self.place.name:
-            return self.attendance.find_missing(others, now_s)
+            return self.peer_liveness.find_silent(others, now_s)
         if self.place.name not in names:
             return []
-        if len(others) > 1 and not self.attendance.has_recent_contact(now_s, excluding=names[0]):
+        if len(others) > 1 and not self.peer_liveness.has_recent_contact(now_s, excluding=names[0]):
             return []
-        return self.attendance.find_missing(names[:1], now_s)
+        return self.peer_liveness.find_silent(names[:1], now_s)
 
     def serves_peers(self) -> bool:
         """Whether this instance is a relay that requests its changes from the source."""
@@ -173,7 +173,7 @@
 
     def _relay_names(self) -> list[str]:
         peers = self.peers.of(self.place.data_centre)
-        names = [self.place.name, *(each.entry.instance for each in peers)]
+        names = [self.place.name, *(peer.entry.instance for peer in peers)]
         return placement.preferred("news", names, RELAY_COUNT)
 
     async def _ask_source(
@@ -187,17 +187,17 @@
         try:
             changes = await self.source.changes(after, wait_s)
         except source_module.SourceError:
-            pause_s = min(BACKOFF_MIN_S * 2**self._source_failures, BACKOFF_MAX_S)
+            delay_s = min(BACKOFF_MIN_S * 2**self._source_failures, BACKOFF_MAX_S)
             self._source_failures += 1
             now_s = asyncio.get_running_loop().time()
-            self._source_retry_at_s = now_s + pause_s * self.rng.uniform(0.75, 1.25)
+            self._source_retry_at_s = now_s + delay_s * self.rng.uniform(0.75, 1.25)
             raise
         self._source_failures = 0
         return changes
 
     def _is_skipped(self, relay: replica_module.Replica) -> bool:
         failures = self._failures.get(relay.entry.instance)
-        return failures is not None and asyncio.get_running_loop().time() < failures.until_s
+        return failures is not None and asyncio.get_running_loop().time() < failures.skipped_until_s
 
     async def _ask_relay(
         self, relay: replica_module.Replica, after: source_module.Position, wait_s: float
@@ -212,13 +212,13 @@
                     response = await connection.exchange(request)
             if response.status != 200:
                 return self._record_failure(relay, f"status_{response.status}")
-            reply = relay_codec.decode(response.body, self.decode)
+            reply = relay_codec.decode(response.body, self.decode_value)
         except (client.ConnectError, client.ExchangeError, relay_codec.MessageError) as error:
             return self._record_failure(relay, str(error))
         except TimeoutError:
             return self._record_failure(relay, "silent")
         self._failures.pop(relay.entry.instance, None)
-        self.attendance.record_contact(relay.entry.instance, asyncio.get_running_loop().time())
+        self.peer_liveness.record_contact(relay.entry.instance, asyncio.get_running_loop().time())
         return reply
 
     def _record_failure(self, relay: replica_module.Replica, reason: str) -> None:
@@ -226,6 +226,6 @@
         failures = self._failures.setdefault(name, _Failures())
         failures.in_a_row += 1
         if failures.in_a_row >= FAILURES_TO_SKIP:
-            failures.until_s = asyncio.get_running_loop().time() + SKIP_S
+            failures.skipped_until_s = asyncio.get_running_loop().time() + SKIP_S
         self.counters.add("relay.failed")
         decisions.log("relay.failed", relay=name, reason=reason[:100], in_a_row=failures.in_a_row)
--- a/src/turmericlug/entry/relay_codec.py
+++ b/src/turmericlug/entry/relay_codec.py
@@ -20,7 +20,7 @@
 _MAX_AGE_S = 3600.0
 """Reported as the age if the source has never answered: far beyond what any instance accepts."""
 
-Decode = abc.Callable[[str, bytes, int], source.Written | source.Unreadable | None]
+DecodeValue = abc.Callable[[str, bytes, int], source.Written | source.Unreadable | None]
 """Decodes the new content of a key, given its revision."""
 
 
@@ -33,7 +33,7 @@
     """The reply of a relay."""
 
     changes: source.Changes
-    lost: bool
+    history_lost: bool
     """Whether the relay does not know all changes since the requested position."""
 
 
@@ -63,13 +63,13 @@
             "era": change.era,
             "removed": True,
         }
-    smaller = _compress(change.content)
-    compressed = len(smaller) < len(change.content)
+    compressed_content = _compress(change.content)
+    compressed = len(compressed_content) < len(change.content)
     return {
         "key": change.key,
         "revision": change.revision,
         "era": change.era,
-        "content": smaller if compressed else change.content,
+        "content": compressed_content if compressed else change.content,
         "compressed": compressed,
         "lease": change.lease if isinstance(change, source.Written) else 0,
     }
@@ -87,7 +87,7 @@
     return zlib.compress(content, 1) if len(content) > COMPRESSION_THRESHOLD_BYTES else content
 
 
-def decode(content: bytes, decode_value: Decode) -> Reply:
+def decode(content: bytes, decode_value: DecodeValue) -> Reply:
     """
     Decode a message.
 
@@ -95,8 +95,8 @@
     """
     try:
         message = _SCHEMA.News.from_bytes_packed(content)
-        found = [_decode_change(each, decode_value) for each in message.changes]
-        changes = tuple(each for each in found if each is not None)
+        decoded = [_decode_change(change, decode_value) for change in message.changes]
+        changes = tuple(change for change in decoded if change is not None)
         age_s = message.sourceAgeMs / 1000
         reported = source.Changes(changes, message.revision, age_s, message.era)
         return Reply(reported, message.lost)
@@ -105,15 +105,15 @@
 
 
 def _decode_change(
-    change: capnp.lib.capnp._DynamicStructReader, decode_value: Decode
+    change: capnp.lib.capnp._DynamicStructReader, decode_value: DecodeValue
 ) -> source.Change | None:
     if change.removed:
         return source.Removed(change.key, change.revision, change.era)
     content = decompress_value(change.content) if change.compressed else bytes(change.content)
-    found = decode_value(change.key, content, change.revision)
-    if isinstance(found, source.Written):
-        return attrs.evolve(found, era=change.era, lease=change.lease)
-    return found and attrs.evolve(found, era=change.era)
+    decoded = decode_value(change.key, content, change.revision)
+    if isinstance(decoded, source.Written):
+        return attrs.evolve(decoded, era=change.era, lease=change.lease)
+    return decoded and attrs.evolve(decoded, era=change.era)
 
 
 def decompress_value(content: bytes) -> bytes:
--- a/src/turmericlug/entry/settings.py
+++ b/src/turmericlug/entry/settings.py
@@ -10,14 +10,14 @@
 from turmericlug.config import ini
 
 
-def _address(raw: str) -> tuple[str, int]:
+def _parse_address(raw: str) -> tuple[str, int]:
     host, colon, port = raw.rpartition(":")
     if not (host and colon and port.isdigit() and 0 < int(port) < 65536):
         raise ValueError(f"{raw!r} is not HOST:PORT")
     return host, int(port)
 
 
-def _regions(raw: str) -> dict[str, str]:
+def _parse_regions(raw: str) -> dict[str, str]:
     pairs = [item.strip().partition("=") for item in raw.split(",") if item.strip()]
     if not pairs or not all(name and region for name, _, region in pairs):
         raise ValueError("must list DATA_CENTRE=REGION, separated by commas")
@@ -31,15 +31,17 @@
     name: str = ini.key(ini.non_empty_text, None, "unique name of this instance")
     data_centre: str = ini.key(ini.non_empty_text, None, "data centre of this instance")
     region: str = ini.key(ini.non_empty_text, None, "region of the data centre")
-    data_centres: dict[str, str] = ini.key(_regions, None, "region of each data centre")
-    callers_address: tuple[str, int] = ini.key(_address, None, "where callers connect")
-    ready_address: tuple[str, int] = ini.key(_address, None, "where the readiness check is served")
+    data_centres: dict[str, str] = ini.key(_parse_regions, None, "region of each data centre")
+    callers_address: tuple[str, int] = ini.key(_parse_address, None, "where callers connect")
+    ready_address: tuple[str, int] = ini.key(
+        _parse_address, None, "where the readiness check is served"
+    )
     directory_address: tuple[str, int] = ini.key(
-        _address, None, "where the directory of addresses is served"
+        _parse_address, None, "where the directory of addresses is served"
     )
-    peers_address: tuple[str, int] = ini.key(_address, None, "where other instances connect")
+    peers_address: tuple[str, int] = ini.key(_parse_address, None, "where other instances connect")
     metrics_address: tuple[str, int] = ini.key(
-        _address, None, "where metrics and status are served"
+        _parse_address, None, "where metrics and status are served"
     )
 
 
@@ -47,7 +49,7 @@
 class Source:
     """Section ``[source]``: the store of the configuration and the replicas."""
 
-    address: tuple[str, int] = ini.key(_address, None, "the store's address")
+    address: tuple[str, int] = ini.key(_parse_address, None, "the store's address")
 
 
 @attrs.frozen
--- a/src/turmericlug/entry/stalls.py
+++ b/src/turmericlug/entry/stalls.py
@@ -18,7 +18,7 @@
     """Measures for how long the event loop was blocked before its current iteration."""
 
     def __init__(self) -> None:
-        self._ticked_s = asyncio.get_running_loop().time()
+        self._last_tick_s = asyncio.get_running_loop().time()
         self._lags = policy.DurationWindow()
 
     async def watch(self) -> None:
@@ -29,7 +29,7 @@
             self._lags.add(late_s * 1000)
             if late_s > LOG_THRESHOLD_S:
                 decisions.log("instance.stalled", stood_ms=round(late_s * 1000))
-            self._ticked_s = loop.time()
+            self._last_tick_s = loop.time()
             await asyncio.sleep(TICK_S)
 
     def lag_ms(self) -> float | None:
@@ -38,5 +38,5 @@
 
     def overdue_s(self) -> float:
         """Return for how long the next tick is overdue, 0 if it is not due yet."""
-        late_s = asyncio.get_running_loop().time() - self._ticked_s - TICK_S
+        late_s = asyncio.get_running_loop().time() - self._last_tick_s - TICK_S
         return max(late_s, 0.0)
--- a/src/turmericlug/entry/suspects.py
+++ b/src/turmericlug/entry/suspects.py
@@ -145,15 +145,17 @@
             return
 
     def _take_due(self, now_s: float) -> dict[poison.Fingerprint, poison.Record]:
-        due = [each for each, due_s in self._pending.items() if due_s <= now_s][:MESSAGE_LIMIT]
+        due = [request for request, due_s in self._pending.items() if due_s <= now_s][
+            :MESSAGE_LIMIT
+        ]
         for request in due:
             del self._pending[request]
         table = self._quarantine.table
         return {
-            each: table.records[each]
-            for each in due
-            if each in table.records
-            and (each in self._published or table.records[each].recent_crashes(now_s))
+            request: table.records[request]
+            for request in due
+            if request in table.records
+            and (request in self._published or table.records[request].recent_crashes(now_s))
         }
 
     def _recipients(self) -> list[replica_module.Replica]:
@@ -197,14 +199,14 @@
                     response = await connection.exchange(request)
             reply = suspects_codec.decode(response.body, asyncio.get_running_loop().time())
         except (client.ConnectError, client.ExchangeError, suspects_codec.MessageError) as error:
-            return self._failed(peer, str(error))
+            return self._record_failure(peer, str(error))
         except TimeoutError:
-            return self._failed(peer, "silent")
+            return self._record_failure(peer, "silent")
         self._counters.add("poison.exchanges")
         self.merge_report(reply.records)
         return True
 
-    def _failed(self, peer: replica_module.Replica, reason: str) -> bool:
+    def _record_failure(self, peer: replica_module.Replica, reason: str) -> bool:
         self._counters.add("poison.not_told")
         decisions.log("poison.not_told", peer=peer.entry.instance, reason=reason[:100])
         return False
--- a/src/turmericlug/entry/view.py
+++ b/src/turmericlug/entry/view.py
@@ -20,7 +20,7 @@
 from turmericlug.entry import source
 from turmericlug.telemetry import decisions
 
-RETURN_HOLD_S = 2.2
+ENTRY_HOLD_S = 2.2
 """How long entries are held. Entries whose leases expired while the source was unreachable are
 written again within 2 s of its return."""
 MASS_REMOVAL_SHARE = 0.25
@@ -52,7 +52,7 @@
         takes parts of queries."""
         self.instances: dict[str, source.EntryInstance] = {}
         self.own_entry_removed = False
-        self.on_instances: abc.Callable[[], None] = lambda: None
+        self.on_instances_changed: abc.Callable[[], None] = lambda: None
         """Called when an instance has been written or removed."""
         self.on_configuration: abc.Callable[[], None] = lambda: None
         """Called when a new configuration is in force."""
@@ -68,7 +68,7 @@
         self._era_changed_s = float("-inf")
         self._last_answer_s = float("-inf")
         self._instance_counts = sliding_maximum.SlidingMaximum(INSTANCE_COUNT_WINDOW_S)
-        self._born_ms: collections.OrderedDict[str, int] = collections.OrderedDict()
+        self._removed_start_ms: collections.OrderedDict[str, int] = collections.OrderedDict()
         """The latest start time of removed replicas, by key."""
 
     @property
@@ -81,13 +81,13 @@
         """Whether the last request to the source failed."""
         return self._unreachable_since_s is not None
 
-    def source_lost(self, reason: str) -> None:
+    def record_source_failure(self, reason: str) -> None:
         """Record that the source does not answer."""
         if self._unreachable_since_s is None:
             self._unreachable_since_s = self._now_s()
             decisions.log("source.lost", reason=reason)
 
-    def source_regained(self, age_s: float = 0.0) -> None:
+    def record_source_answer(self, age_s: float = 0.0) -> None:
         """
         Record that the source answers.
 
@@ -105,32 +105,32 @@
         """Return the time since the last answer of the source."""
         return self._now_s() - self._last_answer_s
 
-    def instances_count(self) -> int:
+    def instance_count(self) -> int:
         """Return how many instances share connections and budgets: the recent maximum."""
         return max(len(self.instances), 1, self._instance_counts.get(self._now_s()))
 
-    def entries(self, names: abc.Collection[str]) -> list[source.Written]:
+    def instance_entries(self, names: abc.Collection[str]) -> list[source.Written]:
         """Return the entries of the named instances, as the source holds them."""
         return [
-            each
-            for each in self._known.values()
-            if isinstance(each, source.Written)
-            and isinstance(each.value, source.EntryInstance)
-            and each.value.name in names
+            entry
+            for entry in self._known.values()
+            if isinstance(entry, source.Written)
+            and isinstance(entry.value, source.EntryInstance)
+            and entry.value.name in names
         ]
 
     def lease_of(self, instance: source.EntryInstance) -> int | None:
         """Return the lease of exactly this entry, if the source has reported it."""
-        for each in self.entries([instance.name]):
-            if each.value == instance and each.lease:
-                return each.lease
+        for entry in self.instance_entries([instance.name]):
+            if entry.value == instance and entry.lease:
+                return entry.lease
         return None
 
     def changes_in(self, snapshot: source.Snapshot) -> source.Changes:
         """Return the changes that lead from the known entries to a fresh snapshot."""
         return differences.between(self._known, snapshot)
 
-    def _record_count(self) -> None:
+    def _record_instance_count(self) -> None:
         self._instance_counts.add(self._now_s(), len(self.instances))
 
     def apply_snapshot(self, snapshot: source.Snapshot) -> None:
@@ -199,9 +199,11 @@
         A write that got no answer may take effect seconds later, after the first write of the next
         start. Applying it would restore the address and state of a process that has ended.
         """
-        born_ms = _born_ms(written)
-        newest_ms = _born_ms(known) if _is_replica(known) else self._born_ms.get(written.key)
-        return born_ms is not None and newest_ms is not None and born_ms < newest_ms
+        start_ms = _start_ms(written)
+        newest_ms = (
+            _start_ms(known) if _is_replica(known) else self._removed_start_ms.get(written.key)
+        )
+        return start_ms is not None and newest_ms is not None and start_ms < newest_ms
 
     def _mark_unreadable(self, unreadable: source.Unreadable) -> None:
         """
@@ -246,8 +248,8 @@
                 self.instances[written.value.name] = written.value
                 if written.value.name != self._own_name:
                     self.peers.put(_as_replica(written.value))
-                    self.on_instances()
-                self._record_count()
+                    self.on_instances_changed()
+                self._record_instance_count()
             case source.Evacuation():
                 self._evacuate(written.value.data_centre, written.revision)
 
@@ -258,7 +260,9 @@
         decisions.log(
             "view.evacuated",
             data_centre=data_centre,
-            replicas=sum(each.entry.data_centre == data_centre for each in self.replicas.all()),
+            replicas=sum(
+                replica.entry.data_centre == data_centre for replica in self.replicas.all()
+            ),
             revision=revision,
         )
 
@@ -282,8 +286,8 @@
         if not keys:
             return
         now_s = self._now_s()
-        hold = self._unreachable_since_s is not None or now_s - self._recovered_s < RETURN_HOLD_S
-        new_era = now_s - self._era_changed_s < RETURN_HOLD_S
+        hold = self._unreachable_since_s is not None or now_s - self._recovered_s < ENTRY_HOLD_S
+        new_era = now_s - self._era_changed_s < ENTRY_HOLD_S
         replica_count = sum(map(_is_replica, self._known.values()))
         if len(keys) >= max(MASS_REMOVAL_MIN, MASS_REMOVAL_SHARE * replica_count):
             hold = True
@@ -322,10 +326,10 @@
                 )
             case source.EntryInstance():
                 # Record the count before the removal, so that the maximum includes this instance.
-                self._record_count()
+                self._record_instance_count()
                 self.instances.pop(written.value.name, None)
                 self.peers.remove(written.value.name)
-                self.on_instances()
+                self.on_instances_changed()
                 decisions.log("view.instance_gone", name=written.value.name, revision=revision)
             case source.Evacuation():
                 data_centre = written.value.data_centre
@@ -340,10 +344,10 @@
     def _remember_start(self, key: str, entry: routes.ReplicaEntry) -> None:
         if entry.born_ms is None:
             return
-        self._born_ms[key] = entry.born_ms
-        self._born_ms.move_to_end(key)
-        if len(self._born_ms) > MAX_REMEMBERED_STARTS:
-            self._born_ms.popitem(last=False)
+        self._removed_start_ms[key] = entry.born_ms
+        self._removed_start_ms.move_to_end(key)
+        if len(self._removed_start_ms) > MAX_REMEMBERED_STARTS:
+            self._removed_start_ms.popitem(last=False)
 
     def expire_held(self) -> None:
         """
@@ -358,7 +362,7 @@
         expired = [
             key
             for key, held_since_s in self._held.items()
-            if now_s >= max(held_since_s, self._recovered_s) + RETURN_HOLD_S
+            if now_s >= max(held_since_s, self._recovered_s) + ENTRY_HOLD_S
         ]
         for key in expired:
             self._delete(key, self._known[key].revision)
@@ -368,7 +372,7 @@
     return isinstance(written, source.Written) and isinstance(written.value, routes.ReplicaEntry)
 
 
-def _born_ms(written: source.Written | source.Unreadable | None) -> int | None:
+def _start_ms(written: source.Written | source.Unreadable | None) -> int | None:
     if isinstance(written, source.Written) and isinstance(written.value, routes.ReplicaEntry):
         return written.value.born_ms
     return None
--- a/src/turmericlug/policy/caller_timeout.py
+++ b/src/turmericlug/policy/caller_timeout.py
@@ -61,7 +61,7 @@
         """
         min_count = max(MIN_COUNT, MIN_COUNT_SHARE * len(self._latest))
         initial_ms = max(
-            (each for each, count in self._counts.items() if count >= min_count),
+            (stated_ms for stated_ms, count in self._counts.items() if count >= min_count),
             default=default_ms,
         )
         spent_ms = initial_ms - remaining_ms
--- a/src/turmericlug/policy/gossip.py
+++ b/src/turmericlug/policy/gossip.py
@@ -26,6 +26,6 @@
     return rng.sample(peers, FANOUT) if must_forward(len(peers)) else peers
 
 
-def must_forward(peers: int) -> bool:
+def must_forward(peer_count: int) -> bool:
     """Whether recipients must forward an update, given the number of peers."""
-    return peers > MAX_DIRECT
+    return peer_count > MAX_DIRECT
--- a/src/turmericlug/policy/liveness.py
+++ b/src/turmericlug/policy/liveness.py
@@ -17,9 +17,9 @@
 SILENCE_TIMEOUT_S = 3.0
 """A running instance polls again 1.7 s after its last poll, or half a second or so later on a slow
 machine. The entry of one that has ended is handed out for as long as with a lease of 3 s."""
-MAX_MISSING_SHARE = 0.5
+MAX_SILENT_SHARE = 0.5
 """If a larger share of the known instances falls silent at once, they have not failed: this
-instance was frozen or is cut off from the others. A single instance may always be missing."""
+instance was frozen or is cut off from the others. A single instance may always be silent."""
 CONTACT_TTL_S = 30.0
 """An instance that has been silent for longer has no entry any more, since leases are shorter."""
 
@@ -34,19 +34,19 @@
         """Record that an instance has polled this one or answered it."""
         self._last_contact_s[name] = now_s
 
-    def find_missing(self, names: abc.Collection[str], now_s: float) -> list[str]:
+    def find_silent(self, names: abc.Collection[str], now_s: float) -> list[str]:
         """
         Return the instances that were in contact before and are silent now.
 
         :param names: the instances to check
         """
         for name in [
-            each for each, at_s in self._last_contact_s.items() if now_s - at_s > CONTACT_TTL_S
+            name for name, at_s in self._last_contact_s.items() if now_s - at_s > CONTACT_TTL_S
         ]:
             del self._last_contact_s[name]
         known = [name for name in names if name in self._last_contact_s]
-        missing = [name for name in known if now_s - self._last_contact_s[name] > SILENCE_TIMEOUT_S]
-        return missing if len(missing) <= max(1, MAX_MISSING_SHARE * len(known)) else []
+        silent = [name for name in known if now_s - self._last_contact_s[name] > SILENCE_TIMEOUT_S]
+        return silent if len(silent) <= max(1, MAX_SILENT_SHARE * len(known)) else []
 
     def has_recent_contact(self, now_s: float, excluding: str) -> bool:
         """
--- a/src/turmericlug/policy/poison.py
+++ b/src/turmericlug/policy/poison.py
@@ -78,15 +78,18 @@
 
     def verdict(self, now_s: float) -> Verdict:
         """Return the verdict on the request."""
-        tried_s = self.quarantined_s if self._counts(self.quarantined_s) else -math.inf
-        length_s = quarantine_duration_s(self.quarantines)
-        if now_s < tried_s + length_s:
+        last_trial_s = self.quarantined_s if self._is_evidence(self.quarantined_s) else -math.inf
+        duration_s = quarantine_duration_s(self.quarantines)
+        if now_s < last_trial_s + duration_s:
             return Verdict.QUARANTINED
-        if now_s < tried_s + 2 * length_s or len(self.recent_crashes(now_s)) >= CRASHES_TO_SUSPECT:
+        if (
+            now_s < last_trial_s + 2 * duration_s
+            or len(self.recent_crashes(now_s)) >= CRASHES_TO_SUSPECT
+        ):
             return Verdict.SUSPECTED
         return Verdict.ALLOWED
 
-    def _counts(self, at_s: float) -> bool:
+    def _is_evidence(self, at_s: float) -> bool:
         """Whether a crash at this time counts as evidence; a later or recent answer refutes it."""
         return at_s > self.answered_s + ANSWER_TTL_S
 
@@ -95,7 +98,7 @@
         return {
             replica: at_s
             for replica, at_s in self.crashes.items()
-            if self._counts(at_s) and at_s > now_s - CRASH_TTL_S
+            if self._is_evidence(at_s) and at_s > now_s - CRASH_TTL_S
         }
 
     def merge(self, other: Record) -> None:
@@ -105,7 +108,7 @@
             self.crashes.setdefault(replica, at_s)
         # Sorted by name, not by time: times differ between instances by the transmission delay, so
         # that each instance kept different crashes and reported them to the others without end.
-        kept = sorted(each for each, at_s in self.crashes.items() if self._counts(at_s))[
+        kept = sorted(replica for replica, at_s in self.crashes.items() if self._is_evidence(at_s))[
             :MAX_CRASHES
         ]
         self.crashes = {replica: self.crashes[replica] for replica in kept}
@@ -258,7 +261,7 @@
         Return this instance's records of reported requests to which it knows a newer answer.
 
         They are sent to the reporter alone, which then informs the others: a popular request was
-        answered at all instances, and each of them would inform all others.
+        answered at all instances, and otherwise each of them would inform all others.
         """
         return {
             request: self.records[request]
@@ -268,7 +271,7 @@
 
     def expire(self, now_s: float) -> int:
         """Drop records without effect; returns how many there were."""
-        expired = [each for each, record in self.records.items() if record.is_expired(now_s)]
+        expired = [request for request, record in self.records.items() if record.is_expired(now_s)]
         for request in expired:
             del self.records[request]
         return len(expired)
@@ -289,5 +292,5 @@
     def _evict(self, now_s: float) -> None:
         """Drop the oldest record, one of a withheld request only if there is no other."""
         withheld = {request for request, _ in self.withheld(now_s)}
-        oldest = next((each for each in self.records if each not in withheld), None)
+        oldest = next((request for request in self.records if request not in withheld), None)
         self.records.pop(oldest if oldest is not None else next(iter(self.records)))
--- a/src/turmericlug/policy/slow_start.py
+++ b/src/turmericlug/policy/slow_start.py
@@ -28,7 +28,8 @@
 """Answers in time that raise the limit by one. A higher value helps in a large burst, but makes
 callers wait needlessly in a small one."""
 UNLIMITED_FROM = 16
-"""Limit from which there is none: the replicas keep up, and the number has no meaning any more."""
+"""From this value on, the limit is lifted: the replicas keep up, and the number has no meaning any
+more."""
 SLOW_START_S = 4.0
 """Time after the start of the instance from which there is no limit. The burst after an outage of
 two seconds lasts for two; an instance that was started well before its first callers would make
@@ -65,7 +66,7 @@
         :param began_s: start time of the instance, by the clock of ``now_s`` in the other methods
         """
         self._ends_at_s = began_s + SLOW_START_S
-        self._in_time = 0
+        self._answers_in_time = 0
         self._active = 0
         self._mean_duration_s = INITIAL_DURATION_S
         self._waiting: list[WaitingQuery] = []
@@ -76,7 +77,7 @@
         return len(self._waiting)
 
     def _limit(self, now_s: float) -> float:
-        limit = INITIAL_LIMIT + self._in_time // ANSWERS_PER_STEP
+        limit = INITIAL_LIMIT + self._answers_in_time // ANSWERS_PER_STEP
         return float("inf") if now_s >= self._ends_at_s or limit >= UNLIMITED_FROM else limit
 
     def try_acquire(self, now_s: float) -> bool:
@@ -87,10 +88,8 @@
         return True
 
     def wait(self, query: WaitingQuery, now_s: float) -> bool:
-        """
-        Queue a query; false if it is expected to end after its deadline.
-        """
-        ahead = sum(self._rank(each, now_s) < self._rank(query, now_s) for each in self._waiting)
+        """Queue a query; false if it is expected to end after its deadline."""
+        ahead = sum(self._rank(other, now_s) < self._rank(query, now_s) for other in self._waiting)
         wait_s = (ahead + 1) * self._mean_duration_s / self._limit(now_s)
         if now_s + wait_s + self._mean_duration_s > query.deadline_s:
             return False
@@ -105,17 +104,17 @@
     def release(self, now_s: float, duration_s: float, in_time: bool) -> None:
         """Record the end of an active query and start waiting ones."""
         self._active -= 1
-        self._in_time += in_time
+        self._answers_in_time += in_time
         self._mean_duration_s += DURATION_WEIGHT * (duration_s - self._mean_duration_s)
         self.start_waiting(now_s)
 
     def start_waiting(self, now_s: float) -> None:
         """Start waiting queries up to the limit."""
         while self._waiting and self._active < self._limit(now_s):
-            first = min(self._waiting, key=lambda each: self._rank(each, now_s))
-            self._waiting.remove(first)
+            next_query = min(self._waiting, key=lambda query: self._rank(query, now_s))
+            self._waiting.remove(next_query)
             self._active += 1
-            first.on_start()
+            next_query.on_start()
 
     def _rank(self, query: WaitingQuery, now_s: float) -> tuple[bool, int, float]:
         """Return the sort key in the queue; the lowest goes first."""
--- a/src/turmericlug/policy/warm_up.py
+++ b/src/turmericlug/policy/warm_up.py
@@ -33,23 +33,23 @@
     phase: float = 0.0
     """Start of the instance's first slot as a fraction of the slot period."""
 
-    def allows(self, since_s: float, sent_s: float, now_s: float) -> bool:
+    def allows(self, cold_since_s: float, last_sent_s: float, now_s: float) -> bool:
         """
         Whether one more request may be sent now.
 
-        :param since_s: when this instance learned that the replica is cold
-        :param sent_s: when this instance last sent to the replica since then
+        :param cold_since_s: when this instance learned that the replica is cold
+        :param last_sent_s: when this instance last sent to the replica since then
         """
         if not self.rate_per_s:
             return True
         if not self.senders:
             return False
         period_s = self.senders / (RATE_UTILISATION * self.rate_per_s)
-        begin_s = since_s + self.phase * period_s
-        index = math.floor((now_s - begin_s) / period_s)
-        slot_s = begin_s + index * period_s
+        first_slot_s = cold_since_s + self.phase * period_s
+        index = math.floor((now_s - first_slot_s) / period_s)
+        slot_start_s = first_slot_s + index * period_s
         length_s = min(MAX_SLOT_SHARE * period_s, MAX_SLOT_S)
-        return index >= 0 and now_s - slot_s < length_s and sent_s < slot_s
+        return index >= 0 and now_s - slot_start_s < length_s and last_sent_s < slot_start_s
 
 
 UNLIMITED = Share(0.0)
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -33,7 +33,7 @@
         handler = callers_module.RequestHandler(view, sender, lambda: age_s)
         now_s = asyncio.get_running_loop().time()
         if leaving:
-            handler.leave(now_s - 0.1, now_s + 1.0)
+            handler.start_draining(now_s - 0.1, now_s + 1.0)
         answer = await handler.handle(
             messages.Request(b"GET", target, tuple(headers), b"", now_s, now_s)
         )
@@ -273,7 +273,7 @@
         handler = callers_module.RequestHandler(view, sender, lambda: 0.0)
         view.on_configuration = handler.on_configured
         if snapshot == "fails":
-            view.source_lost("unreachable")
+            view.record_source_failure("unreachable")
         now_s = asyncio.get_running_loop().time()
         task = asyncio.create_task(
             handler.handle(messages.Request(b"GET", b"/x/1", (HOST, ID), b"", now_s, now_s))
--- a/tests/entry/test_deregistration.py
+++ b/tests/entry/test_deregistration.py
@@ -68,7 +68,7 @@
     peers = replicas_module.Replicas(make_pool, scripted.PLACE, budget.Allowance())
     view = view_module.View("own", peers, peers, lambda: now_s)
     view.apply_snapshot(source_module.Snapshot((instance("a"), instance("b")), 3))
-    view.source_regained(age_s)
+    view.record_source_answer(age_s)
     totals = counters.Counters()
     source = Source(outcome)
     relayed = relay.RelayedSource(
--- a/tests/entry/test_directory.py
+++ b/tests/entry/test_directory.py
@@ -96,7 +96,7 @@
     tested = make_directory(*instances)
     tested.own_name = "r/d/1"
     assert "r/d/1" in tested.addresses("r", "d")
-    tested.leaving = lambda: True
+    tested.is_draining = lambda: True
     assert tested.addresses("r", "d") == expected
 
 
--- a/tests/entry/test_inspection.py
+++ b/tests/entry/test_inspection.py
@@ -46,7 +46,7 @@
         )
         view = view_module.View("e-1", replicas, peers, loop.time)
         if snapshot:
-            view.source_regained()
+            view.record_source_answer()
             view.apply_snapshot(source.Snapshot(tuple(snapshot), 1))
             replicas.of("x")[1].ejected_until_s = loop.time() + 60
         quarantine = quarantine_module.Quarantine(counters.Counters(), loop.time)
--- a/tests/entry/test_relay.py
+++ b/tests/entry/test_relay.py
@@ -325,7 +325,7 @@
     """A new instance is asked for changes before its first snapshot, and has no age to report."""
     answer = asyncio.run(relay_handler(journal_module.Journal(), math.inf)(changes_request()))
     assert answer.status == 200
-    assert relay_codec.decode(answer.body, decode).lost
+    assert relay_codec.decode(answer.body, decode).history_lost
 
 
 @pytest.mark.parametrize(
@@ -417,5 +417,5 @@
         peers.put(routes.ReplicaEntry(name, "dc", "h", 1, "dc", 1, False, 0))
     source = make_source(None, peers)
     for place, at_s in heard.items():
-        source.attendance.record_contact(names[int(place)], at_s)
+        source.peer_liveness.record_contact(names[int(place)], at_s)
     assert source.silent_instances(10.0) == [names[int(each)] for each in sorted(silent_names)]
--- a/tests/entry/test_relay_codec.py
+++ b/tests/entry/test_relay_codec.py
@@ -24,11 +24,11 @@
     )
     message = relay_codec.encode(source.Changes(changes, 12), age_s)
     reply = relay_codec.decode(message, decode_value)
-    assert reply == relay_codec.Reply(source.Changes(changes, 12, age_s), lost=False)
+    assert reply == relay_codec.Reply(source.Changes(changes, 12, age_s), history_lost=False)
 
 
 def test_lost_history_round_trip():
-    assert relay_codec.decode(relay_codec.encode(None, 0.5), decode_value).lost
+    assert relay_codec.decode(relay_codec.encode(None, 0.5), decode_value).history_lost
 
 
 @pytest.mark.parametrize("damage", [b"", b"\xff" * 40])
--- a/tests/entry/test_view.py
+++ b/tests/entry/test_view.py
@@ -98,7 +98,7 @@
     view.apply_changes(source.Changes((evacuated("a", 3),), 3))
     assert view.replicas.evacuated["a"] == clock.now_s - 4
     if unreachable:
-        view.source_lost("timeout")
+        view.record_source_failure("timeout")
     view.apply_changes(source.Changes((source.Removed("v/a", 4),), 4))
     assert set(view.replicas.evacuated) == {"b"}
     view.apply_changes(source.Changes((source.Removed("v/b", 5), evacuated("b", 6)), 6))
@@ -152,16 +152,16 @@
     written = tuple(replica(f"i{n}", 1) for n in range(8))
     view.apply_snapshot(source.Snapshot(written, 1))
     if unreachable:
-        view.source_lost("timeout")
+        view.record_source_failure("timeout")
         clock.now_s += 5
-        view.source_regained()
+        view.record_source_answer()
     removed = tuple(source.Removed(each.key, 2) for each in written)
     view.apply_changes(source.Changes(removed, 2))
     view.expire_held()
     assert len(view.replicas) == 8
     back = tuple(replica(f"i{n}", 3) for n in range(6))
     view.apply_changes(source.Changes(back, 3))
-    clock.now_s += view_module.RETURN_HOLD_S + 0.1
+    clock.now_s += view_module.ENTRY_HOLD_S + 0.1
     view.expire_held()
     assert view.replicas.instances() == {f"i{n}" for n in range(6)}
     assert not any(each.leaving for each in view.replicas.all())
@@ -181,7 +181,7 @@
     assert view.replicas.instances() == {"a", "b"}
     again = attrs.evolve(replica("b", 8), era=2)
     view.apply_changes(source.Changes((again,), 8, era=2))
-    clock.now_s += view_module.RETURN_HOLD_S + 0.1
+    clock.now_s += view_module.ENTRY_HOLD_S + 0.1
     view.expire_held()
     assert view.replicas.instances() == {"a", "b"}
 
@@ -212,7 +212,7 @@
     view.apply_snapshot(source.Snapshot((), 7, 2))
     assert set(view.replicas.evacuated) == {"a", "b"}
     view.apply_changes(source.Changes((attrs.evolve(evacuated("a", 8), era=2),), 8, era=2))
-    clock.now_s += view_module.RETURN_HOLD_S + 0.1
+    clock.now_s += view_module.ENTRY_HOLD_S + 0.1
     view.expire_held()
     assert set(view.replicas.evacuated) == {"a"}
     view.apply_changes(source.Changes((source.Removed("v/a", 9, 2),), 9, era=2))
@@ -260,7 +260,7 @@
 def test_nothing_is_removed_while_the_store_is_unreachable():
     view, clock = make_view()
     view.apply_snapshot(source.Snapshot((replica("a", 1), replica("b", 1)), 1))
-    view.source_lost("timeout")
+    view.record_source_failure("timeout")
     view.apply_changes(source.Changes((source.Removed("r/a", 2),), 2))
     clock.now_s += 60
     view.expire_held()
@@ -275,13 +275,13 @@
     """
     view, clock = make_view()
     view.apply_snapshot(source.Snapshot((replica("a", 1),), 1))
-    view.source_lost("timeout")
+    view.record_source_failure("timeout")
     view.apply_changes(source.Changes((source.Removed("r/a", 2),), 2))
     clock.now_s += 30
-    view.source_regained()
+    view.record_source_answer()
     view.expire_held()
     assert "a" in view.replicas.instances()
-    clock.now_s += view_module.RETURN_HOLD_S + 0.1
+    clock.now_s += view_module.ENTRY_HOLD_S + 0.1
     view.expire_held()
     assert "a" not in view.replicas.instances()
 
@@ -365,7 +365,7 @@
         view.apply_changes(source.Changes((replica(name, revision + 1, born_ms=5),), revision + 1))
         gone = source.Removed(f"r/{name}", revision + 2)
         view.apply_changes(source.Changes((gone,), revision + 2))
-    assert list(view._born_ms) == ["r/i6", "r/i7", "r/i8"]
+    assert list(view._removed_start_ms) == ["r/i6", "r/i7", "r/i8"]
 
 
 def test_replica_with_unreadable_entry_is_removed():
@@ -435,9 +435,9 @@
         view.apply_changes(
             source.Changes((source.Removed(f"e/x{number}", 2 + number),), 2 + number)
         )
-    assert (len(view.instances), view.instances_count()) == (2, 7)
+    assert (len(view.instances), view.instance_count()) == (2, 7)
     clock.now_s += view_module.INSTANCE_COUNT_WINDOW_S + 1
-    assert view.instances_count() == 2
+    assert view.instance_count() == 2
 
 
 class Following(stateful.RuleBasedStateMachine):
@@ -559,7 +559,7 @@
     @stateful.rule()
     def deliver_changes(self):
         if self.synced:
-            self.view.source_regained()
+            self.view.record_source_answer()
             changes = source.Changes(tuple(self.pending), self.revision, era=self.era)
             self.view.apply_changes(changes)
             self._learn(self.pending)
@@ -572,7 +572,7 @@
 
     @stateful.rule()
     def read_snapshot(self):
-        self.view.source_regained()
+        self.view.record_source_answer()
         written = tuple(self.content.values())
         self.view.apply_snapshot(source.Snapshot(written, self.revision, self.era))
         self._learn(written)
@@ -580,7 +580,7 @@
 
     @stateful.rule()
     def store_becomes_unreachable(self):
-        self.view.source_lost("timeout")
+        self.view.record_source_failure("timeout")
 
     @stateful.rule(seconds=strategies.floats(0.1, 5.0))
     def wait(self, seconds):
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -225,15 +225,15 @@
     mutant.one(
         "nobody-is-missed",
         "entry/relay.py",
-        "            return self.attendance.find_missing(others, now_s)",
+        "            return self.peer_liveness.find_silent(others, now_s)",
         "            return []",
         "entry/test_relay.py::test_silent_instances",
     ),
     mutant.one(
         "all-peers-missing-after-a-freeze",
         "policy/liveness.py",
-        "        return missing if len(missing) <= max(1, MAX_MISSING_SHARE * len(known)) else []",
-        "        return missing",
+        "        return silent if len(silent) <= max(1, MAX_SILENT_SHARE * len(known)) else []",
+        "        return silent",
         "policy/test_liveness.py::test_missing_peers",
     ),
     mutant.one(
@@ -310,16 +310,16 @@
     mutant.one(
         "taken-out-for-good",
         "entry/deregistration.py",
-        "[*view.entries(silent), *_reappeared(view, removed_entries)]",
-        "[*view.entries(silent)]",
+        "[*view.instance_entries(silent), *_reappeared(view, removed_entries)]",
+        "[*view.instance_entries(silent)]",
         "integration/test_store_returns.py"
         "::test_an_entry_that_was_taken_out_stays_out_when_the_store_has_returned[killed]",
     ),
     mutant.one(
         "stop-deregistering-when-draining",
         "entry/daemon.py",
-        "    async with tasks.background(unregistered):",
-        "    unregistered.close()\n    if True:",
+        "    async with tasks.background(deregistered):",
+        "    deregistered.close()\n    if True:",
         "integration/test_store_returns.py"
         "::test_an_entry_that_was_taken_out_stays_out_when_the_store_has_returned[leaving]",
     ),
@@ -498,21 +498,21 @@
     mutant.one(
         "draining-instance-lists-itself",
         "entry/directory.py",
-        "if not (self.leaving() and each.name == self.own_name)",
-        "if each.name",
+        "if not (self.is_draining() and instance.name == self.own_name)",
+        "if instance.name",
         "entry/test_directory.py::test_a_draining_instance_omits_itself",
     ),
     mutant.one(
         "refuse-all-when-draining",
         "entry/callers.py",
-        "now_s >= self._refuse_from_s and call.deadline_s > self._ends_at_s",
+        "now_s >= self._refuse_from_s and call.deadline_s > self._exits_at_s",
         "now_s >= self._refuse_from_s",
         "entry/test_callers.py::test_status",
     ),
     mutant.one(
         "interrupt-requests-when-draining",
         "entry/callers.py",
-        "now_s >= self._refuse_from_s and call.deadline_s > self._ends_at_s",
+        "now_s >= self._refuse_from_s and call.deadline_s > self._exits_at_s",
         "now_s >= self._refuse_from_s + 60.0",
         "entry/test_callers.py::test_status",
     ),
@@ -534,7 +534,8 @@
     mutant.one(
         "instances-keep-different-crashes",
         "policy/poison.py",
-        "        kept = sorted(each for each, at_s in self.crashes.items() if self._counts(at_s))",
+        "        kept = sorted(replica for replica, at_s in self.crashes.items()"
+        " if self._is_evidence(at_s))",
         "        kept = sorted(self.crashes, key=self.crashes.__getitem__, reverse=True)",
         "policy/test_poison.py::test_reports_between_instances_converge",
     ),
@@ -642,8 +643,9 @@
     mutant.one(
         "unused-warm-up-slots-are-kept",
         "policy/warm_up.py",
-        "        return index >= 0 and now_s - slot_s < length_s and sent_s < slot_s",
-        "        return index >= 0 and sent_s < slot_s",
+        "        return index >= 0 and now_s - slot_start_s < length_s"
+        " and last_sent_s < slot_start_s",
+        "        return index >= 0 and last_sent_s < slot_start_s",
         "policy/test_warm_up.py::" "test_unused_slots_of_an_idle_period_cause_no_burst",
     ),
     mutant.one(
