--- a/src/turmericlug/entry/live_settings.py
+++ b/src/turmericlug/entry/live_settings.py
@@ -53,14 +53,14 @@
             decisions.log("instance.reload_failed", problems=error.problems)
             return
         applied = {key: getattr(loaded.policy, key) for key in RELOADABLE_KEYS}
-        before = self.policy
-        self.policy = attrs.evolve(before, **applied)
-        if self.policy != before:
+        previous = self.policy
+        self.policy = attrs.evolve(previous, **applied)
+        if self.policy != previous:
             self.on_policy(self.policy)
         decisions.log(
             "instance.reloaded",
             in_force={
-                key: value for key, value in applied.items() if value != getattr(before, key)
+                key: value for key, value in applied.items() if value != getattr(previous, key)
             },
             at_next_start=self._pending_restart(loaded),
         )
--- a/src/turmericlug/policy/slow_start.py
+++ b/src/turmericlug/policy/slow_start.py
@@ -28,8 +28,7 @@
 """Answers in time that raise the limit by one. A higher value helps in a large burst, but makes
 callers wait needlessly in a small one."""
 UNLIMITED_FROM = 16
-"""From this value on, the limit is lifted: the replicas keep up, and the number has no meaning any
-more."""
+"""Limit from which there is none: the replicas keep up, so that the number no longer matters."""
 SLOW_START_S = 4.0
 """Time after the start of the instance from which there is no limit. The burst after an outage of
 two seconds lasts for two; an instance that was started well before its first callers would make
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -384,7 +384,7 @@
     mutant.one(
         "ignore-reloaded-settings",
         "entry/live_settings.py",
-        "        self.policy = attrs.evolve(before, **applied)\n",
+        "        self.policy = attrs.evolve(previous, **applied)\n",
         "",
         "entry/test_live_settings.py::test_reload_applies_the_reloadable_keys",
     ),
