--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -20,7 +20,7 @@
 HOST, ID = (b"host", b"h.example"), (b"request-id", b"q1")
 
 
-def handle_one(headers, target=b"/x/1", age_s=0.0, configured=True, leaving=False, script=None):
+def handle_one(headers, target=b"/x/1", age_s=0.0, configured=True, draining=False, script=None):
     async def main():
         replica = scripted.Scripted(*(script or [scripted.response(body=b"good")]))
         sender = scripted.make_sender({"s": {"a": replica}})
@@ -32,7 +32,7 @@
             view.configuration = routes.Configuration(3, (route,), {}, messages.Limits())
         handler = callers_module.RequestHandler(view, sender, lambda: age_s)
         now_s = asyncio.get_running_loop().time()
-        if leaving:
+        if draining:
             handler.start_draining(now_s - 0.1, now_s + 1.0)
         answer = await handler.handle(
             messages.Request(b"GET", target, tuple(headers), b"", now_s, now_s)
@@ -61,9 +61,9 @@
         ([(b"host", b"other"), ID], {}, 404),
         ([HOST, ID], {"target": b"/y/1", "age_s": 10.0}, 503),
         ([HOST, ID], {"configured": False}, 503),
-        ([HOST, ID], {"leaving": True}, 503),
-        ([HOST, ID, (b"time-left", b"1500")], {"leaving": True}, 503),
-        ([HOST, ID, (b"time-left", b"800")], {"leaving": True}, 200),
+        ([HOST, ID], {"draining": True}, 503),
+        ([HOST, ID, (b"time-left", b"1500")], {"draining": True}, 503),
+        ([HOST, ID, (b"time-left", b"800")], {"draining": True}, 200),
     ],
 )
 def test_status(headers, options, status):
@@ -149,8 +149,8 @@
     """
     split = (routes.WeightedService("a", 3.0), routes.WeightedService("b", 1.0))
     route = routes.Route("r", "h", "/", True, 1000, 100, 1, 2, split)
-    spread, rng = callers_module.WeightedRoundRobin(), random.Random(1)
-    counts = collections.Counter(spread.pick(route, rng) for _ in range(400))
+    balancer, rng = callers_module.WeightedRoundRobin(), random.Random(1)
+    counts = collections.Counter(balancer.pick(route, rng) for _ in range(400))
     assert abs(counts["a"] - 300) <= 1
 
 
@@ -160,10 +160,10 @@
     Admitted together, all queries are late. Some queries therefore wait for admission, and one
     whose deadline would pass by then is refused at once as not run, with a Retry-After header.
     """
-    admitted, more = slow_start.INITIAL_LIMIT, 3
+    admitted, queued = slow_start.INITIAL_LIMIT, 3
 
     async def main():
-        shard = scripted.Scripted(0.02, *[scripted.response(body=bytes(16))] * (admitted + more))
+        shard = scripted.Scripted(0.02, *[scripted.response(body=bytes(16))] * (admitted + queued))
         sender = scripted.make_sender({"s": {"a": shard}})
         view = view_module.View("own", sender.replicas, sender.replicas, lambda: 0.0)
         route = routes.Route(
@@ -173,32 +173,34 @@
         handler = callers_module.RequestHandler(view, sender, lambda: 0.0)
         now_s = asyncio.get_running_loop().time()
 
-        def ask_with(*headers):
+        def send_query(*headers):
             headers = (HOST, ID, *headers)
             request = messages.Request(b"GET", b"/x/1", headers, b"", now_s, now_s)
             return asyncio.create_task(handler.handle(request))
 
-        tasks = [ask_with() for _ in range(admitted + more)]
+        tasks = [send_query() for _ in range(admitted + queued)]
         await asyncio.sleep(0)
-        refused = ask_with((b"time-left", b"%d" % (1000 * slow_start.INITIAL_DURATION_S)))
-        left = ask_with()
+        refused = send_query((b"time-left", b"%d" % (1000 * slow_start.INITIAL_DURATION_S)))
+        disconnecting = send_query()
         await asyncio.sleep(0)
         assert refused.done(), "refused without a wait"
-        assert not any(each.done() for each in tasks)
-        assert handler._slow_start.queue_length == more + 1
-        left.cancel()
+        assert not any(task.done() for task in tasks)
+        assert handler._slow_start.queue_length == queued + 1
+        disconnecting.cancel()
         await asyncio.sleep(0)
-        assert handler._slow_start.queue_length == more, "a disconnected caller's query still waits"
+        assert (
+            handler._slow_start.queue_length == queued
+        ), "a disconnected caller's query still waits"
         answers = await asyncio.gather(*tasks)
         await sender.tasks.finish()
         return answers, refused.result(), len(shard.requests)
 
     answers, refused, sent = asyncio.run(main())
-    assert [each.status for each in answers] == [200] * (admitted + more)
-    assert (refused.status, refused.body, sent) == (503, b"starting", admitted + more)
-    least_s = answering.OVERLOAD_RETRY_AFTER_MIN_S
+    assert [answer.status for answer in answers] == [200] * (admitted + queued)
+    assert (refused.status, refused.body, sent) == (503, b"starting", admitted + queued)
+    min_s = answering.OVERLOAD_RETRY_AFTER_MIN_S
     assert (
-        least_s
+        min_s
         <= float(dict(refused.headers)[b"retry-after"])
         <= answering.OVERLOAD_RETRY_AFTER_MAX_S
     )
@@ -221,11 +223,11 @@
     """
     calls = []
 
-    async def all_shards(sender, call):
+    async def record_call(sender, call):
         calls.append(call)
         return answering.refusal(sender, "recorded")
 
-    monkeypatch.setattr(answering, "query_shards", all_shards)
+    monkeypatch.setattr(answering, "query_shards", record_call)
     way_back_s = 0.003
 
     async def main():
@@ -238,10 +240,16 @@
         for spent_ms, stated_ms in RECORDED:
             now_s = asyncio.get_running_loop().time()
             headers = (HOST, ID, (b"time-left", b"%d" % stated_ms))
-            trips = 3 if spent_ms in (CONNECTED[0], BOTH[0]) else 1
+            one_way_trips = 3 if spent_ms in (CONNECTED[0], BOTH[0]) else 1
             await handler.handle(
                 messages.Request(
-                    b"GET", b"/x/1", headers, b"", now_s, now_s - trips * way_back_s, way_back_s
+                    b"GET",
+                    b"/x/1",
+                    headers,
+                    b"",
+                    now_s,
+                    now_s - one_way_trips * way_back_s,
+                    way_back_s,
                 )
             )
             began_s = now_s - way_back_s - spent_ms / 1000
--- a/tests/entry/test_deregistration.py
+++ b/tests/entry/test_deregistration.py
@@ -27,7 +27,7 @@
         self.calls = []
 
     async def remove(self, written):
-        self.calls.append([each.key for each in written])
+        self.calls.append([entry.key for entry in written])
         if isinstance(self.outcome, Exception):
             raise self.outcome
         return self.outcome
@@ -74,19 +74,19 @@
     relayed = relay.RelayedSource(
         source, None, scripted.PLACE, peers, totals, liveness.PeerLiveness()
     )
-    waiting = list(silent)
-    looks = []
+    still_silent = list(silent)
+    checked_s = []
 
     def silent_now(relayed, at_s):
-        looks.append(at_s)
-        return [] if counted and totals.totals["instance.missed"] else waiting
+        checked_s.append(at_s)
+        return [] if counted and totals.totals["instance.missed"] else still_silent
 
     monkeypatch.setattr(relay.RelayedSource, "silent_instances", silent_now)
 
     async def main():
         task = asyncio.create_task(deregistration.deregister_silent(source, view, relayed, totals))
         async with asyncio.timeout(10):
-            while len(source.calls) < calls or (not calls and len(looks) < 3 and age_s < 1):
+            while len(source.calls) < calls or (not calls and len(checked_s) < 3 and age_s < 1):
                 await asyncio.sleep(0.002)
             await asyncio.sleep(0.02)
         task.cancel()
@@ -95,6 +95,6 @@
 
     asyncio.run(main())
     assert bool(source.calls) is bool(calls)
-    assert all(each == ["i/a"] for each in source.calls)
+    assert all(keys == ["i/a"] for keys in source.calls)
     assert totals.totals["instance.missed"] == counted
-    assert bool(looks) is (age_s < relay.MAX_AGE_S)
+    assert bool(checked_s) is (age_s < relay.MAX_AGE_S)
--- a/tests/entry/test_directory.py
+++ b/tests/entry/test_directory.py
@@ -70,9 +70,17 @@
     tested = make_directory(*instances)
     restricted = tuple(
         routes.Route(
-            f"r{number}", "h", f"/{number}/", True, 1.0, 1.0, 1, 1, regions=each and frozenset(each)
+            f"r{number}",
+            "h",
+            f"/{number}/",
+            True,
+            1.0,
+            1.0,
+            1,
+            1,
+            regions=allowed and frozenset(allowed),
         )
-        for number, each in enumerate(regions)
+        for number, allowed in enumerate(regions)
     )
     tested.view.configuration = routes.Configuration(1, restricted, {}, messages.Limits())
     assert tested.addresses("r", "d", "H") == expected
--- a/tests/entry/test_early.py
+++ b/tests/entry/test_early.py
@@ -19,9 +19,9 @@
 
 
 def free_address():
-    with socket.socket() as found:
-        found.bind(("127.0.0.1", 0))
-        return found.getsockname()
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return probe.getsockname()
 
 
 def test_a_request_sent_while_the_program_loads_is_answered():
@@ -86,13 +86,13 @@
     power loss of all instances, no caller is served during that time.
     """
     program = f"import sys, {module}; print(*sys.modules)"
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", program],
         capture_output=True,
         text=True,
         check=True,
         env={"PYTHONPATH": str(SOURCE)},
     )
-    loaded = set(done.stdout.split())
+    loaded = set(completed.stdout.split())
     assert module in loaded
     assert not loaded & set(unwanted)
--- a/tests/entry/test_follower.py
+++ b/tests/entry/test_follower.py
@@ -137,12 +137,16 @@
     """
     source = Source(
         [
-            source_module.Snapshot((configured(each),), each) if isinstance(each, int) else each
-            for each in snapshots
+            (
+                source_module.Snapshot((configured(snapshot),), snapshot)
+                if isinstance(snapshot, int)
+                else snapshot
+            )
+            for snapshot in snapshots
         ],
         [
-            source_module.Changes((configured(each),), each) if isinstance(each, int) else each
-            for each in replies
+            source_module.Changes((configured(reply),), reply) if isinstance(reply, int) else reply
+            for reply in replies
         ],
     )
     view = make_view()
@@ -162,8 +166,8 @@
     assert view.configuration.version == version
     assert source.asked_after == asked_after
     # Only while nothing is known yet: with a later stale snapshot, replicas would count as removed.
-    known = [isinstance(each, int) for each in snapshots]
-    assert source.stale_allowed == [not any(known[:n]) for n in range(len(source.stale_allowed))]
+    is_read = [isinstance(snapshot, int) for snapshot in snapshots]
+    assert source.stale_allowed == [not any(is_read[:n]) for n in range(len(source.stale_allowed))]
 
 
 @pytest.mark.parametrize(
@@ -279,7 +283,7 @@
 
     asyncio.run(main())
     pauses_s = [after - before for before, after in itertools.pairwise(attempted_s)]
-    assert all(0.8 * pause_s <= each <= 1.2 * pause_s + 0.001 for each in pauses_s)
+    assert all(0.8 * pause_s <= actual_s <= 1.2 * pause_s + 0.001 for actual_s in pauses_s)
 
 
 def test_entry_removed_by_others_is_written_again():
@@ -314,7 +318,7 @@
 
 
 @pytest.mark.parametrize(
-    ("shown", "kept", "registered"),
+    ("restored_entry", "kept", "registered"),
     [
         (own_entry(lease=1), [1, 1], [1]),
         (own_entry(lease=9), [1, 2], [1, 2]),
@@ -322,7 +326,7 @@
     ],
     ids=["entry valid", "under another lease", "entry lost"],
 )
-def test_registration_is_revalidated_after_restore(shown, kept, registered):
+def test_registration_is_revalidated_after_restore(restored_entry, kept, registered):
     """Guards against renewing a lease whose number now belongs to another instance."""
     source, view = Source(keeps=[1]), make_view()
     view.apply_snapshot(source_module.Snapshot((), 5, 1))
@@ -334,7 +338,7 @@
             while source.kept != kept[:1]:
                 await asyncio.sleep(0.001)
             source.era = 2
-            written = () if shown is None else (attrs.evolve(shown, era=2),)
+            written = () if restored_entry is None else (attrs.evolve(restored_entry, era=2),)
             view.apply_snapshot(source_module.Snapshot(written, 4, 2))
             source.steps["keep"] = [1, 1]
             while source.kept[-1:] != kept[-1:] or len(source.kept) < len(kept):
--- a/tests/entry/test_inspection.py
+++ b/tests/entry/test_inspection.py
@@ -104,7 +104,7 @@
 def test_explain_lists_the_replicas_of_the_route_best_first():
     _, reply = ask(b"/explain?host=h&path=/a/1", SNAPSHOT)
     assert reply["route"]["name"] == "r"
-    assert [(each["replica"], each["state"]) for each in reply["replicas"]] == [
+    assert [(replica["replica"], replica["state"]) for replica in reply["replicas"]] == [
         ("x1", "in use"),
         ("x2", "set aside"),
         ("y1", "leaving"),
@@ -124,8 +124,8 @@
 def test_withheld_requests():
     status, reply = ask(b"/quarantine", withheld=[b"a", b"b"])
     assert status == 200
-    by_content = {each["content"]: each for each in reply["requests"]}
-    assert {each: by_content[each]["verdict"] for each in by_content} == {
+    by_content = {request["content"]: request for request in reply["requests"]}
+    assert {content: by_content[content]["verdict"] for content in by_content} == {
         b"a".hex(): "suspected",
         b"b".hex(): "quarantined",
     }
--- a/tests/entry/test_relay.py
+++ b/tests/entry/test_relay.py
@@ -65,11 +65,11 @@
     """
     Return names of other instances.
 
-    :param relays: the places of the relays among them, in order; -1 is the instance itself
+    :param relays: the indexes of the relays among them, in order; -1 is the instance itself
     """
     candidates = itertools.permutations(map(str, range(60)), count)
     for names in candidates:
-        expected = [names[each] if each >= 0 else "own" for each in relays]
+        expected = [names[index] if index >= 0 else "own" for index in relays]
         if placement.preferred("news", ["own", *names], len(relays)) == expected:
             return names
     raise AssertionError("no such names")
@@ -80,7 +80,7 @@
     """
     Run other instances with the given handlers; yield a source that uses them as relays.
 
-    :param relays: the places of the relays among them, in order; -1 is the instance itself
+    :param relays: the indexes of the relays among them, in order; -1 is the instance itself
     """
     names = names_in_order(len(handlers), *(relays or range(len(handlers))))
     loop = asyncio.get_running_loop()
@@ -115,9 +115,9 @@
     )
 
 
-def relay_handler(journal, age_s=0.5, heard=None):
+def relay_handler(journal, age_s=0.5, peer_liveness=None):
     """Return the handler of a relay whose last answer from the store has the given age."""
-    return relay.handler(journal, lambda: age_s, heard or liveness.PeerLiveness())
+    return relay.handler(journal, lambda: age_s, peer_liveness or liveness.PeerLiveness())
 
 
 def changes_request(after=5, wait_ms=1000, name="x"):
@@ -190,7 +190,7 @@
     queries were all treated as lost and sent again, part by part, from a machine of half a core.
     """
     shards = [f"service-{number:03}" for number in range(90)]
-    content = json.dumps([{"prefix": f"/r{each}/", "shards": shards} for each in range(40)])
+    content = json.dumps([{"prefix": f"/r{number}/", "shards": shards} for number in range(40)])
     written = source_module.Written("r/config", scripted.entry(content), 11, content.encode())
 
     async def main():
@@ -332,19 +332,23 @@
     "target", [b"", b"x/1000/a", b"5", b"5/1000", b"5/1000/", b"5/x/a"], ids=repr
 )
 def test_malformed_request_is_not_found(target):
-    heard = liveness.PeerLiveness()
+    peer_liveness = liveness.PeerLiveness()
     request = attrs.evolve(changes_request(), target=relay.PATH + target)
-    answer = asyncio.run(relay_handler(journal_with(replica("a", 11)), 0.5, heard)(request))
+    answer = asyncio.run(relay_handler(journal_with(replica("a", 11)), 0.5, peer_liveness)(request))
     assert answer.status == 404
-    assert not heard.has_recent_contact(0.0, excluding="")
+    assert not peer_liveness.has_recent_contact(0.0, excluding="")
 
 
 @pytest.mark.parametrize("data_centres", [[], ["beside"], ["beside", "far"]])
 def test_only_instance_in_its_data_centre_asks_the_store(data_centres):
     async def main():
         peers = replicas_module.Replicas(lambda entry: None, PLACE, budget.Allowance())
-        for each in data_centres:
-            peers.put(routes.ReplicaEntry(f"e-{each}", each, "h", 1, each, 1, False, 0))
+        for data_centre in data_centres:
+            peers.put(
+                routes.ReplicaEntry(
+                    f"e-{data_centre}", data_centre, "h", 1, data_centre, 1, False, 0
+                )
+            )
         store = Source()
         source = make_source(store, peers)
         assert source.relays() == []
@@ -386,7 +390,7 @@
 
 
 @pytest.mark.parametrize(
-    ("relays", "heard", "silent_names"),
+    ("relays", "contacts_s", "silent_names"),
     [
         ((-1, 0), {"0": 0.0, "1": 9.0, "2": 9.0}, {"0"}),
         ((-1, 0), {"0": 9.0, "1": 9.0, "2": 9.0}, set()),
@@ -406,7 +410,7 @@
         "this one is not a relay",
     ],
 )
-def test_silent_instances(relays, heard, silent_names):
+def test_silent_instances(relays, contacts_s, silent_names):
     """
     Guards against callers that are given the address of an instance without power until its lease
     expires: the relay it used has to find it silent, so that its entry is removed.
@@ -416,6 +420,6 @@
     for name in names:
         peers.put(routes.ReplicaEntry(name, "dc", "h", 1, "dc", 1, False, 0))
     source = make_source(None, peers)
-    for place, at_s in heard.items():
-        source.peer_liveness.record_contact(names[int(place)], at_s)
-    assert source.silent_instances(10.0) == [names[int(each)] for each in sorted(silent_names)]
+    for index, at_s in contacts_s.items():
+        source.peer_liveness.record_contact(names[int(index)], at_s)
+    assert source.silent_instances(10.0) == [names[int(index)] for index in sorted(silent_names)]
--- a/tests/entry/test_sliding_maximum.py
+++ b/tests/entry/test_sliding_maximum.py
@@ -26,7 +26,9 @@
         if value is not None:
             added.append((now_s, value))
             maximum.add(now_s, value)
-        expected = max((each for at_s, each in added if at_s > now_s - WINDOW_S), default=0)
+        expected = max(
+            (added_value for at_s, added_value in added if at_s > now_s - WINDOW_S), default=0
+        )
         assert maximum.get(now_s) == expected
 
 
--- a/tests/entry/test_suspects.py
+++ b/tests/entry/test_suspects.py
@@ -29,7 +29,7 @@
 from turmericlug.wire import suspects_codec
 
 PLACE = placement.Place("own", "dc", {"dc": "r"})
-Q = b"fingerprint"
+FINGERPRINT = b"fingerprint"
 
 
 class Instance:
@@ -61,9 +61,9 @@
         async def handler(request):
             return messages.Answer(404) if self.cut_off else await handle(request)
 
-        entrance = server.Server(handler, messages.Limits, 100)
-        listener = await server.listen(entrance, "127.0.0.1", 0)
-        self.stack.callback(entrance.close)
+        http_server = server.Server(handler, messages.Limits, 100)
+        listener = await server.listen(http_server, "127.0.0.1", 0)
+        self.stack.callback(http_server.close)
         self.stack.callback(listener.close)
         self.port = listener.sockets[0].getsockname()[1]
 
@@ -82,13 +82,13 @@
                     )
                 )
 
-    def crash(self, replica, on_trial=False, request=Q):
+    def crash(self, replica, on_trial=False, request=FINGERPRINT):
         """Observe the crash of a replica."""
         crashed = replica_module.Replica(scripted.entry(replica), None)
         self.quarantine._record_crash(request, crashed, on_trial)
 
     def verdict(self):
-        return self.quarantine.verdict(Q)
+        return self.quarantine.verdict(FINGERPRINT)
 
 
 def run_scenario(count, scenario):
@@ -97,11 +97,11 @@
     async def main():
         async with contextlib.AsyncExitStack() as stack:
             instances = [Instance(f"e{number}", stack) for number in range(count)]
-            for each in instances:
-                await each.listen()
-            for each in instances:
-                each.add_peers(instances)
-                await each.start()
+            for instance in instances:
+                await instance.listen()
+            for instance in instances:
+                instance.add_peers(instances)
+                await instance.start()
             async with asyncio.timeout(30):
                 await scenario(instances)
 
@@ -123,13 +123,19 @@
     monkeypatch.setattr(suspects, "SYNC_INTERVAL_S", 1000.0)
 
     async def scenario(instances):
-        for number, each in enumerate(instances[:3]):
-            each.crash(f"r{number}")
-        await until(lambda: all(each.verdict() is poison.Verdict.SUSPECTED for each in instances))
+        for number, instance in enumerate(instances[:3]):
+            instance.crash(f"r{number}")
+        await until(
+            lambda: all(instance.verdict() is poison.Verdict.SUSPECTED for instance in instances)
+        )
         instances[-1].crash("r9", on_trial=True)
-        await until(lambda: all(each.verdict() is poison.Verdict.QUARANTINED for each in instances))
-        assert instances[4].quarantine.lift(Q)
-        await until(lambda: all(each.verdict() is poison.Verdict.ALLOWED for each in instances))
+        await until(
+            lambda: all(instance.verdict() is poison.Verdict.QUARANTINED for instance in instances)
+        )
+        assert instances[4].quarantine.lift(FINGERPRINT)
+        await until(
+            lambda: all(instance.verdict() is poison.Verdict.ALLOWED for instance in instances)
+        )
 
     run_scenario(count, scenario)
 
@@ -162,13 +168,15 @@
 def test_an_answer_at_one_instance_clears_a_request_at_all():
     async def scenario(instances):
         call = scripted.make_call()
-        call.fingerprint = Q
+        call.fingerprint = FINGERPRINT
         instances[3].quarantine.record_answer(call)
         for number in range(3):
             instances[0].crash(f"r{number}")
         assert instances[0].verdict() is poison.Verdict.SUSPECTED
         await until(lambda: instances[0].verdict() is poison.Verdict.ALLOWED)
-        await until(lambda: all(each.verdict() is poison.Verdict.ALLOWED for each in instances))
+        await until(
+            lambda: all(instance.verdict() is poison.Verdict.ALLOWED for instance in instances)
+        )
 
     run_scenario(5, scenario)
 
@@ -180,7 +188,7 @@
         await until(lambda: instances[0].counters.totals["poison.exchanges"])
         instances[0].crash("r0")
         call = scripted.make_call()
-        call.fingerprint = Q
+        call.fingerprint = FINGERPRINT
         instances[0].quarantine.record_answer(call)
         before = instances[0].counters.totals["poison.exchanges"]
         await asyncio.sleep(2 * suspects.FIRST_CRASH_DELAY_S)
@@ -191,7 +199,7 @@
 
 
 def exchanges(instances):
-    return sum(each.counters.totals["poison.exchanges"] for each in instances)
+    return sum(instance.counters.totals["poison.exchanges"] for instance in instances)
 
 
 @pytest.mark.parametrize("count", [7, 20])
@@ -205,18 +213,22 @@
     monkeypatch.setattr(suspects, "SYNC_INTERVAL_S", 0.3)
 
     async def scenario(instances):
-        await until(lambda: all(each.counters.totals["poison.exchanges"] for each in instances))
-        for number, each in enumerate(instances):
+        await until(
+            lambda: all(instance.counters.totals["poison.exchanges"] for instance in instances)
+        )
+        for number, instance in enumerate(instances):
             for replica in range(12):
-                each.crash(f"r{number}-{replica}")
+                instance.crash(f"r{number}-{replica}")
             for request in range(10):
-                each.crash(f"r{number}", request=b"beside-%d-%d" % (number, request))
+                instance.crash(f"r{number}", request=b"beside-%d-%d" % (number, request))
         await asyncio.sleep(0.5)
-        assert {each.verdict() for each in instances} == {poison.Verdict.SUSPECTED}
+        assert {instance.verdict() for instance in instances} == {poison.Verdict.SUSPECTED}
         call = scripted.make_call()
-        call.fingerprint = Q
+        call.fingerprint = FINGERPRINT
         instances[0].quarantine.record_answer(call)
-        await until(lambda: all(each.verdict() is poison.Verdict.ALLOWED for each in instances))
+        await until(
+            lambda: all(instance.verdict() is poison.Verdict.ALLOWED for instance in instances)
+        )
         before = -1
         async with asyncio.timeout(10):
             while before != exchanges(instances):
@@ -230,9 +242,11 @@
     monkeypatch.setattr(suspects, "SYNC_INTERVAL_S", 0.05)
 
     async def scenario(instances):
-        await until(lambda: all(each.counters.totals["poison.exchanges"] for each in instances))
+        await until(
+            lambda: all(instance.counters.totals["poison.exchanges"] for instance in instances)
+        )
         await asyncio.sleep(0.5)
-        assert [each.counters.totals["poison.exchanges"] for each in instances] == [1, 1, 1]
+        assert [instance.counters.totals["poison.exchanges"] for instance in instances] == [1, 1, 1]
 
     run_scenario(3, scenario)
 
@@ -264,7 +278,8 @@
         assert found.crashes == pytest.approx(record.crashes, abs=0.001)
         assert found.quarantines == record.quarantines
         times = [
-            (each.answered_s, each.quarantined_s, each.trial_until_s) for each in (found, record)
+            (compared.answered_s, compared.quarantined_s, compared.trial_until_s)
+            for compared in (found, record)
         ]
         assert times[0] == pytest.approx(times[1], abs=0.001)
 
--- a/tests/entry/test_view.py
+++ b/tests/entry/test_view.py
@@ -155,16 +155,16 @@
         view.record_source_failure("timeout")
         clock.now_s += 5
         view.record_source_answer()
-    removed = tuple(source.Removed(each.key, 2) for each in written)
+    removed = tuple(source.Removed(entry.key, 2) for entry in written)
     view.apply_changes(source.Changes(removed, 2))
     view.expire_held()
     assert len(view.replicas) == 8
-    back = tuple(replica(f"i{n}", 3) for n in range(6))
-    view.apply_changes(source.Changes(back, 3))
+    rewritten = tuple(replica(f"i{n}", 3) for n in range(6))
+    view.apply_changes(source.Changes(rewritten, 3))
     clock.now_s += view_module.ENTRY_HOLD_S + 0.1
     view.expire_held()
     assert view.replicas.instances() == {f"i{n}" for n in range(6)}
-    assert not any(each.leaving for each in view.replicas.all())
+    assert not any(known.leaving for known in view.replicas.all())
 
 
 @pytest.mark.parametrize("relayed", [False, True], ids=["by a snapshot", "by a relay"])
@@ -179,8 +179,8 @@
         view.apply_snapshot(source.Snapshot((attrs.evolve(replica("a", 5), era=2),), 7, 2))
     view.expire_held()
     assert view.replicas.instances() == {"a", "b"}
-    again = attrs.evolve(replica("b", 8), era=2)
-    view.apply_changes(source.Changes((again,), 8, era=2))
+    rewritten = attrs.evolve(replica("b", 8), era=2)
+    view.apply_changes(source.Changes((rewritten,), 8, era=2))
     clock.now_s += view_module.ENTRY_HOLD_S + 0.1
     view.expire_held()
     assert view.replicas.instances() == {"a", "b"}
@@ -193,13 +193,15 @@
     view, clock = make_view()
     view.apply_snapshot(source.Snapshot((configured(3, 9), replica("a", 8)), 9, 1))
     era = 1 + returns
-    for each in range(2, era + 1):
-        view.apply_snapshot(source.Snapshot((attrs.evolve(configured(2, 3), era=each),), 3, each))
+    for restored_era in range(2, era + 1):
+        view.apply_snapshot(
+            source.Snapshot((attrs.evolve(configured(2, 3), era=restored_era),), 3, restored_era)
+        )
     written = (configured(4, revision), replica("a", revision, draining=True))
-    changes = tuple(attrs.evolve(each, era=era) for each in written)
+    changes = tuple(attrs.evolve(entry, era=era) for entry in written)
     view.apply_changes(source.Changes(changes, revision, era=era))
     assert view.configuration.version == 4
-    assert all(each.leaving for each in view.replicas.all())
+    assert all(known.leaving for known in view.replicas.all())
     clock.now_s += 60
     view.apply_changes(source.Changes((source.Removed("r/a", revision + 1, era),), 13, era=era))
     assert not view.replicas.instances()
@@ -220,7 +222,7 @@
 
 
 @pytest.mark.parametrize(
-    ("again", "leaving"),
+    ("next_entry", "leaving"),
     [
         ({}, True),
         ({"sequence": 3}, True),
@@ -229,17 +231,17 @@
     ],
     ids=["nothing", "older entry", "newer entry", "another start"],
 )
-def test_older_entry_does_not_end_draining(again, leaving):
+def test_older_entry_does_not_end_draining(next_entry, leaving):
     """Guards against requests to a leaving replica because a copy holds its former entry."""
     view, _ = make_view()
-    said = replica("a", 9, draining=True, born_ms=1000, sequence=4)
-    view.apply_snapshot(source.Snapshot((said,), 9, 1))
+    draining_entry = replica("a", 9, draining=True, born_ms=1000, sequence=4)
+    view.apply_snapshot(source.Snapshot((draining_entry,), 9, 1))
     older = replica("a", 5, born_ms=1000, sequence=2)
     view.apply_snapshot(source.Snapshot((attrs.evolve(older, era=2),), 7, 2))
-    if again:
-        written = replica("a", 8, **({"born_ms": 1000} | again))
+    if next_entry:
+        written = replica("a", 8, **({"born_ms": 1000} | next_entry))
         view.apply_changes(source.Changes((attrs.evolve(written, era=2),), 8, era=2))
-    assert [each.leaving for each in view.replicas.all()] == [leaving]
+    assert [known.leaving for known in view.replicas.all()] == [leaving]
     view.apply_changes(source.Changes((source.Removed("r/a", 9, 2),), 9, era=2))
     assert not view.replicas.instances() or view._held
 
@@ -248,9 +250,9 @@
     """Guards against a restore that makes every relay send all entries to its whole data centre."""
     view, _ = make_view()
     view.apply_snapshot(source.Snapshot((replica("a", 5), replica("b", 9), replica("c", 3)), 9, 1))
-    shown = [attrs.evolve(each, era=2) for each in (replica("a", 5), replica("b", 7))]
-    found = view.changes_in(source.Snapshot(tuple(shown), 7, 2))
-    assert [(each.key, type(each)) for each in found.changes] == [
+    restored = [attrs.evolve(entry, era=2) for entry in (replica("a", 5), replica("b", 7))]
+    found = view.changes_in(source.Snapshot(tuple(restored), 7, 2))
+    assert [(change.key, type(change)) for change in found.changes] == [
         ("r/b", source.Written),
         ("r/c", source.Removed),
     ]
@@ -296,15 +298,15 @@
 
 def set_learnt_state(view, instance):
     """Set all learnt state of a replica in a view, and return the replica."""
-    (known,) = (each for each in view.replicas.all() if each.entry.instance == instance)
+    (known,) = (replica for replica in view.replicas.all() if replica.entry.instance == instance)
     known.relative_latency, known.failure_rate, known.failures, known.ejections = 9.0, 0.9, 3, 2
     known.ejected_until_s = known.shed_until_s = known.misdirected_until_s = 1e9
     return known
 
 
-@pytest.mark.parametrize("way", ["change", "snapshot"])
+@pytest.mark.parametrize("delivery", ["change", "snapshot"])
 @pytest.mark.parametrize("draining", [True, False])
-def test_restarted_replica_keeps_no_state(way, draining):
+def test_restarted_replica_keeps_no_state(delivery, draining):
     """
     Guards against a restarted replica that inherits the state of the one before. That one was slow,
     failing and draining, and crashed; the new one under the same name is then skipped for seconds,
@@ -313,11 +315,11 @@
     view, clock = make_view()
     view.apply_snapshot(source.Snapshot((replica("a", 1, draining, born_ms=1000),), 1))
     former = set_learnt_state(view, "a")
-    again = replica("a", 2, born_ms=2500)
-    if way == "change":
-        view.apply_changes(source.Changes((again,), 2))
+    restarted = replica("a", 2, born_ms=2500)
+    if delivery == "change":
+        view.apply_changes(source.Changes((restarted,), 2))
     else:
-        view.apply_snapshot(source.Snapshot((again,), 2))
+        view.apply_snapshot(source.Snapshot((restarted,), 2))
     (known,) = view.replicas.all()
     assert known is not former
     assert (known.relative_latency, known.failure_rate, known.failures, known.ejections) == (
@@ -350,7 +352,7 @@
         view.apply_changes(source.Changes((source.Removed("r/a", 4),), 4))
         assert not view.replicas.instances()
     view.apply_changes(source.Changes((replica("a", 5, born_ms=1000),), 5))
-    assert [each.entry.port for each in view.replicas.all()] == ([] if gone else [2])
+    assert [known.entry.port for known in view.replicas.all()] == ([] if gone else [2])
     view.apply_changes(source.Changes((replica("a", 6, draining=True, born_ms=2500, port=2),), 6))
     (known,) = view.replicas.all()
     assert known.leaving
@@ -363,8 +365,8 @@
     for number in range(9):
         name, revision = f"i{number}", 10 * number
         view.apply_changes(source.Changes((replica(name, revision + 1, born_ms=5),), revision + 1))
-        gone = source.Removed(f"r/{name}", revision + 2)
-        view.apply_changes(source.Changes((gone,), revision + 2))
+        removed = source.Removed(f"r/{name}", revision + 2)
+        view.apply_changes(source.Changes((removed,), revision + 2))
     assert list(view._removed_start_ms) == ["r/i6", "r/i7", "r/i8"]
 
 
@@ -423,12 +425,12 @@
 
 
 def test_removed_instances_count_for_a_while():
-    view, clock = make_view()
     """
     Guards against a retry budget that is exceeded: the platform removes entries of instances that
     still run. If they stop counting at once, the others take over their share of the budget, while
     the removed instances continue to use it.
     """
+    view, clock = make_view()
     view.apply_snapshot(source.Snapshot(tuple(instance(f"x{n}", 1) for n in range(7)), 1))
     clock.now_s += 60
     for number in range(5):
@@ -453,12 +455,12 @@
         self.content = {}
         self.born_ms = {}
         self.pending = []
-        self.highest = 0
+        self.highest_version = 0
         self.synced = False
         self.era = 1
         self.copies = []
         self.entry_sequence = 0
-        self.learnt = set()
+        self.known_starts = set()
         """The starts of replicas that the view knows, by number and time."""
         self.lost_writes = {}
         """Writes of others since the copy, which they repeat, by key; ``None``: a removal."""
@@ -477,10 +479,10 @@
     @stateful.rule(
         number=strategies.integers(0, 5),
         draining=strategies.booleans(),
-        again=strategies.booleans(),
+        restarted=strategies.booleans(),
     )
-    def write_replica(self, number, draining, again):
-        self.born_ms[number] = born_ms = self.born_ms.get(number, 1000) + 700 * again
+    def write_replica(self, number, draining, restarted):
+        self.born_ms[number] = born_ms = self.born_ms.get(number, 1000) + 700 * restarted
         self.entry_sequence += 1
         entry_sequence = self.entry_sequence
         self._write(
@@ -500,8 +502,8 @@
         # The view recognises an older start only if it already knows the newer one, or receives it
         # first.
         newest = self.content.get(f"r/i{number}")
-        learnt = (number, self.born_ms.get(number)) in self.learnt
-        if isinstance(newest, source.Written) or newest and learnt:
+        is_known = (number, self.born_ms.get(number)) in self.known_starts
+        if isinstance(newest, source.Written) or newest and is_known:
             self._keep_copy()
             self.revision += 1
             older = replica(f"i{number}", self.revision, born_ms=self.born_ms[number] - 700)
@@ -509,8 +511,8 @@
 
     @stateful.rule(step=strategies.integers(1, 3))
     def write_configuration(self, step):
-        version = self.highest + step
-        self.highest = version
+        version = self.highest_version + step
+        self.highest_version = version
         self._write(lambda revision: configured(version, revision))
 
     @stateful.rule(number=strategies.integers(0, 5))
@@ -526,9 +528,9 @@
         self.lost_writes.pop(key, None)
 
     @stateful.rule(
-        changes=strategies.integers(0, 6), again=strategies.booleans(), read=strategies.booleans()
+        changes=strategies.integers(0, 6), rewrite=strategies.booleans(), read=strategies.booleans()
     )
-    def return_from_copy(self, changes, again, read):
+    def return_from_copy(self, changes, rewrite, read):
         """Lose the latest changes; their revisions are assigned again."""
         before = self.content
         for _ in range(min(changes, len(self.copies))):
@@ -537,11 +539,11 @@
             if before.get(key) != self.content.get(key):
                 self.lost_writes.setdefault(key, before.get(key))
         self.content = {
-            key: attrs.evolve(each, era=self.era + 1) for key, each in self.content.items()
+            key: attrs.evolve(entry, era=self.era + 1) for key, entry in self.content.items()
         }
         self.era += 1
         self.pending, self.synced = [], False
-        if again:
+        if rewrite:
             self.repeat_lost_writes()
         if read:
             self.read_snapshot()
@@ -549,9 +551,9 @@
     @stateful.rule()
     def repeat_lost_writes(self):
         """The operator and the replicas repeat the writes that the copy lacks."""
-        for key, each in list(self.lost_writes.items()):
-            if each is not None:
-                self._write(lambda revision, each=each: attrs.evolve(each, revision=revision))
+        for key, lost in list(self.lost_writes.items()):
+            if lost is not None:
+                self._write(lambda revision, lost=lost: attrs.evolve(lost, revision=revision))
             elif key in self.content:
                 self._remove(key)
         self.lost_writes = {}
@@ -566,9 +568,9 @@
             self.pending = []
 
     def _learn(self, changes):
-        for each in changes:
-            if isinstance(each, source.Written) and each.key.startswith("r/"):
-                self.learnt.add((int(each.key[3:]), each.value.born_ms))
+        for change in changes:
+            if isinstance(change, source.Written) and change.key.startswith("r/"):
+                self.known_starts.add((int(change.key[3:]), change.value.born_ms))
 
     @stateful.rule()
     def read_snapshot(self):
@@ -604,16 +606,19 @@
             return
         if self.view._held:
             return
-        assert self.view.configuration is None or self.view.configuration.version == self.highest
+        assert (
+            self.view.configuration is None
+            or self.view.configuration.version == self.highest_version
+        )
         expected = {
             key[2:]
-            for key, each in self.content.items()
-            if key.startswith("r/") and isinstance(each, source.Written)
+            for key, entry in self.content.items()
+            if key.startswith("r/") and isinstance(entry, source.Written)
         }
         assert self.view.replicas.instances() == expected
-        for each in self.view.replicas.all():
-            stored = self.content[f"r/{each.entry.instance}"].value
-            assert (each.leaving, each.entry.born_ms) == (stored.draining, stored.born_ms)
+        for replica in self.view.replicas.all():
+            stored = self.content[f"r/{replica.entry.instance}"].value
+            assert (replica.leaving, replica.entry.born_ms) == (stored.draining, stored.born_ms)
 
 
 TestFollowing = Following.TestCase
--- a/tests/policy/fleet_model.py
+++ b/tests/policy/fleet_model.py
@@ -78,13 +78,15 @@
         self.crashes_s = []
         """Times at which the poison request crashed replicas."""
 
-    def schedule(self, delay_s, work, *arguments):
-        heapq.heappush(self.events, (self.now_s + delay_s, next(self.sequence), work, arguments))
+    def schedule(self, delay_s, callback, *arguments):
+        heapq.heappush(
+            self.events, (self.now_s + delay_s, next(self.sequence), callback, arguments)
+        )
 
     def run(self, until_s):
         while self.events and self.events[0][0] < until_s:
-            self.now_s, _, work, arguments = heapq.heappop(self.events)
-            work(*arguments)
+            self.now_s, _, callback, arguments = heapq.heappop(self.events)
+            callback(*arguments)
 
     # Callers
 
@@ -134,7 +136,7 @@
     # Replicas
 
     def send(self, query, shard, attempt, on_trial=False):
-        up = [each for each in self.shards[shard] if each.up]
+        up = [replica for replica in self.shards[shard] if replica.up]
         if not up:
             return False
         replica = self.rng.choice(up)
--- a/tests/policy/test_caller_timeout.py
+++ b/tests/policy/test_caller_timeout.py
@@ -31,8 +31,8 @@
 )
 def test_spent_time(stated_ms, remaining_ms, spent_ms):
     times = caller_timeout.RemainingTimes()
-    for each in stated_ms:
-        times.add(each)
+    for sample_ms in stated_ms:
+        times.add(sample_ms)
     assert times.spent_ms(remaining_ms, 84.0) == spent_ms
 
 
@@ -43,8 +43,8 @@
 )
 def test_the_default_is_used_until_there_are_enough_samples(stated_ms, remaining_ms, spent_ms):
     times = caller_timeout.RemainingTimes()
-    for each in stated_ms:
-        times.add(each)
+    for sample_ms in stated_ms:
+        times.add(sample_ms)
     assert times.spent_ms(remaining_ms, 84.0, default_ms=800.0) == spent_ms
 
 
--- a/tests/policy/test_poison_fleet.py
+++ b/tests/policy/test_poison_fleet.py
@@ -65,10 +65,10 @@
 
 
 def poison_request(fleet):
-    moment_s = 2.0
-    while moment_s < DURATION_S:
-        fleet.schedule(moment_s, fleet.submit, fleet_model.POISON)
-        moment_s += POISON_INTERVAL_S
+    sent_s = 2.0
+    while sent_s < DURATION_S:
+        fleet.schedule(sent_s, fleet.submit, fleet_model.POISON)
+        sent_s += POISON_INTERVAL_S
 
 
 @pytest.mark.parametrize("instances", [7, 195])
@@ -97,7 +97,9 @@
         poison_request(fleet)
         fleet.run(DURATION_S + 5)
         third_s = fleet.crashes_s[2]
-        late = [each for each in fleet.poison_reached_s if each > third_s + PROPAGATION_S]
+        late = [
+            reached_s for reached_s in fleet.poison_reached_s if reached_s > third_s + PROPAGATION_S
+        ]
         assert len(late) <= MAX_LATE_ATTEMPTS
         assert fleet.rejected == 0
 
@@ -113,6 +115,8 @@
         fleet.schedule(1.5 * number, fleet.submit, fleet_model.POISON)
     fleet.run(60.0)
     third_s = fleet.crashes_s[2]
-    late = [each for each in fleet.poison_reached_s if each > third_s + PROPAGATION_S]
+    late = [
+        reached_s for reached_s in fleet.poison_reached_s if reached_s > third_s + PROPAGATION_S
+    ]
     assert len(late) <= MAX_LATE_ATTEMPTS
     assert len(fleet.crashes_s) <= 2 + MAX_LATE_ATTEMPTS
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -18,9 +18,9 @@
 """Two replicas with two slots, 35 ms for each part."""
 
 
-def start_queries(start, count, now_s=0.0):
-    """Start queries up to the limit, at max_queued a count of them; returns how many."""
-    return next((n for n in range(count) if not start.try_acquire(now_s)), count)
+def start_queries(limiter, count, now_s=0.0):
+    """Start queries up to the limit, but at most a given count; returns how many."""
+    return next((n for n in range(count) if not limiter.try_acquire(now_s)), count)
 
 
 def waiting_query(name, started, goal_at_s=10.0, deadline_s=20.0, priority=1):
@@ -40,14 +40,14 @@
     ],
 )
 def test_limit_rises_with_answers_in_time(in_time, limit):
-    start = slow_start.SlowStart(0.0)
+    limiter = slow_start.SlowStart(0.0)
     for _ in range(in_time):
-        assert start.try_acquire(0.0)
-        start.release(0.0, 0.1, in_time=True)
-    assert start_queries(start, 100) == limit
+        assert limiter.try_acquire(0.0)
+        limiter.release(0.0, 0.1, in_time=True)
+    assert start_queries(limiter, 100) == limit
     for _ in range(limit):
-        start.release(0.0, 0.1, in_time=False)
-    assert start_queries(start, 100) == limit
+        limiter.release(0.0, 0.1, in_time=False)
+    assert start_queries(limiter, 100) == limit
 
 
 @pytest.mark.parametrize(
@@ -55,8 +55,8 @@
     [(0.0, slow_start.INITIAL_LIMIT), (3.9, slow_start.INITIAL_LIMIT), (4.1, 100)],
 )
 def test_limit_ends_some_time_after_the_start(age_s, limit):
-    start = slow_start.SlowStart(50.0)
-    assert start_queries(start, 100, 50.0 + age_s) == limit
+    limiter = slow_start.SlowStart(50.0)
+    assert start_queries(limiter, 100, 50.0 + age_s) == limit
 
 
 def test_queue_order():
@@ -64,8 +64,8 @@
     Queries that can be in time go before those that can't, more urgent ones before others, and the
     late ones in order of their deadlines. No new query overtakes the waiting ones.
     """
-    start = slow_start.SlowStart(0.0)
-    start_queries(start, 100)
+    limiter = slow_start.SlowStart(0.0)
+    start_queries(limiter, 100)
     started = []
     for query in (
         waiting_query("late, patient", started, goal_at_s=0.05, deadline_s=19.0),
@@ -75,17 +75,17 @@
         waiting_query("urgent", started, priority=0),
         waiting_query("urgent, late", started, priority=0, goal_at_s=0.05),
     ):
-        assert start.wait(query, 0.0)
+        assert limiter.wait(query, 0.0)
     cancelled = waiting_query("caller left", started)
-    assert start.wait(cancelled, 0.0)
-    start.cancel(cancelled)
+    assert limiter.wait(cancelled, 0.0)
+    limiter.cancel(cancelled)
     for count in range(6):
-        start.release(0.1, 0.1, in_time=False)
+        limiter.release(0.1, 0.1, in_time=False)
         assert len(started) == count + 1
-        assert not start.try_acquire(0.1)
+        assert not limiter.try_acquire(0.1)
     assert started == ["urgent", "first", "second", "urgent, late", "late", "late, patient"]
-    start.release(0.1, 0.1, in_time=False)
-    assert start.try_acquire(0.1)
+    limiter.release(0.1, 0.1, in_time=False)
+    assert limiter.try_acquire(0.1)
 
 
 def test_a_query_that_would_wait_beyond_its_deadline_is_refused():
@@ -93,16 +93,16 @@
     A caller allows 0.8 s, and so many queries wait that its own starts later. If it is queued, the
     caller learns that at its deadline; if it is refused at once, it can try another instance.
     """
-    start = slow_start.SlowStart(0.0)
-    start_queries(start, 100)
+    limiter = slow_start.SlowStart(0.0)
+    start_queries(limiter, 100)
     started = []
     queued = 0
-    while start.wait(waiting_query("query", started, goal_at_s=0.2, deadline_s=0.8), 0.0):
+    while limiter.wait(waiting_query("query", started, goal_at_s=0.2, deadline_s=0.8), 0.0):
         queued += 1
     max_queued = slow_start.INITIAL_LIMIT * (0.8 / slow_start.INITIAL_DURATION_S - 1)
     assert max_queued - slow_start.INITIAL_LIMIT <= queued <= max_queued
-    assert start.wait(waiting_query("query", started, goal_at_s=0.2, deadline_s=1.5), 0.0)
-    assert start.wait(
+    assert limiter.wait(waiting_query("query", started, goal_at_s=0.2, deadline_s=1.5), 0.0)
+    assert limiter.wait(
         waiting_query("urgent", started, goal_at_s=0.2, deadline_s=0.8, priority=0), 0.0
     )
 
@@ -118,7 +118,10 @@
     instances = [slow_start.SlowStart(0.0 if limited else -100.0) for _ in range(INSTANCES)]
     sent_s = [rng.uniform(-OUTAGE_S, 0.0) for _ in range(int(OUTAGE_S * QUERIES_PER_S))]
     sent_s += [n / QUERIES_PER_S for n in range(2 * QUERIES_PER_S)]
-    events = [(max(each, rng.uniform(0.0, 0.2)), n, each) for n, each in enumerate(sent_s)]
+    events = [
+        (max(query_sent_s, rng.uniform(0.0, 0.2)), n, query_sent_s)
+        for n, query_sent_s in enumerate(sent_s)
+    ]
     heapq.heapify(events)
     replicas = {"free_at_s": 0.0}
     clock = {"s": 0.0}
@@ -161,7 +164,7 @@
     late, also to later callers. If they are refused, many are lost. With a slow start more queries
     are in time, and no fewer are answered.
     """
-    without = simulate_outage(False, seed)
+    unlimited = simulate_outage(False, seed)
     limited = simulate_outage(True, seed)
-    assert limited["in time"] > 1.2 * without["in time"]
-    assert limited["answered"] >= without["answered"]
+    assert limited["in time"] > 1.2 * unlimited["in time"]
+    assert limited["answered"] >= unlimited["answered"]
