--- a/tests/entry/test_directory.py
+++ b/tests/entry/test_directory.py
@@ -70,9 +70,17 @@
     tested = make_directory(*instances)
     restricted = tuple(
         routes.Route(
-            f"r{number}", "h", f"/{number}/", True, 1.0, 1.0, 1, 1, regions=each and frozenset(each)
+            f"r{number}",
+            "h",
+            f"/{number}/",
+            True,
+            1.0,
+            1.0,
+            1,
+            1,
+            regions=allowed and frozenset(allowed),
         )
-        for number, each in enumerate(regions)
+        for number, allowed in enumerate(regions)
     )
     tested.view.configuration = routes.Configuration(1, restricted, {}, messages.Limits())
     assert tested.addresses("r", "d", "H") == expected
@@ -96,7 +104,7 @@
     tested = make_directory(*instances)
     tested.own_name = "r/d/1"
     assert "r/d/1" in tested.addresses("r", "d")
-    tested.leaving = lambda: True
+    tested.is_draining = lambda: True
     assert tested.addresses("r", "d") == expected
 
 
