--- a/src/turmericlug/direct/attempts.py
+++ b/src/turmericlug/direct/attempts.py
@@ -384,7 +384,7 @@
     late_after_ms = sender.replicas.hedge_after_ms(replica, call.route)
     send = replica_module.Attempt(now_s, late_after_ms / 1000, replica.entry.instance)
     # Registered before its task runs, so that a cancellation in the same loop iteration finds it.
-    replica.sends.add(send)
+    replica.attempts.add(send)
     if replica.is_cold(now_s):
         replica.cold_sent_s = now_s
     call.sends_by_service.setdefault(state.service, []).append(send)
@@ -393,7 +393,7 @@
     sender.counters.add("direct.sent.near" if near else "direct.sent.far")
     call.sends.add(task)
     task.add_done_callback(call.sends.discard)
-    task.add_done_callback(lambda _: replica.sends.discard(send))
+    task.add_done_callback(lambda _: replica.attempts.discard(send))
     state.tried.append(replica)
     state.reached[replica.entry.instance] += 1
     state.pending[task] = _Pending(replica, send)
--- a/src/turmericlug/direct/handover.py
+++ b/src/turmericlug/direct/handover.py
@@ -145,7 +145,7 @@
         loop = asyncio.get_running_loop()
         peer = pending.peer
         send = replica_module.Attempt(loop.time(), self._interim_timeout_s(peer.entry.data_centre))
-        peer.sends.add(send)
+        peer.attempts.add(send)
         try:
             await self._send_batch(sender, call, pending, answer_at_s, send)
         except (
@@ -159,7 +159,7 @@
             self._record_loss(sender, call, pending, "silent", send.began_s)
             return False
         finally:
-            peer.sends.discard(send)
+            peer.attempts.discard(send)
         peer.record_success(1.0, 1.0, loop.time())
         return True
 
--- a/src/turmericlug/direct/replica.py
+++ b/src/turmericlug/direct/replica.py
@@ -65,7 +65,7 @@
 
     entry: routes.ReplicaEntry
     pool: pool_module.Pool
-    sends: set[Attempt] = attrs.field(factory=set)
+    attempts: set[Attempt] = attrs.field(factory=set)
     """Attempts in flight."""
     relative_latency: float = 1.0
     """Moving average of its latency, as a multiple of the usual latency in its data centre."""
@@ -121,13 +121,13 @@
 
     def overdue(self, now_s: float) -> bool:
         """Whether an attempt has been in flight for longer than a slow one takes."""
-        return any(now_s - attempt.began_s > attempt.overdue_after_s for attempt in self.sends)
+        return any(now_s - attempt.began_s > attempt.overdue_after_s for attempt in self.attempts)
 
     def set_aside(self, now_s: float) -> bool:
         """Whether it recently failed, shed or was misdirected, and is not due for another try."""
         if now_s < self.ejected_until_s or now_s < self.shed_until_s or self.is_misdirected(now_s):
             return True
-        return self.ejections > 0 and bool(self.sends)
+        return self.ejections > 0 and bool(self.attempts)
 
     def is_misdirected(self, now_s: float) -> bool:
         """Whether another replica has recently answered at its address."""
--- a/src/turmericlug/direct/replicas.py
+++ b/src/turmericlug/direct/replicas.py
@@ -342,7 +342,7 @@
     ) -> float:
         """Estimate the latency of another request to a replica."""
         median_ms = self.latencies(route.name, replica.entry.data_centre).median_ms
-        load = 1 + LOAD_FACTOR * (len(replica.sends) + replica.pool.waiting)
+        load = 1 + LOAD_FACTOR * (len(replica.attempts) + replica.pool.waiting)
         expected_ms = median_ms * replica.current_relative_latency(now_s) * load
         expected_ms *= DISTANCE_FACTORS[self._place.distance(replica.entry.data_centre)]
         expected_ms *= 1 + FAILURE_FACTOR * replica.failure_rate
--- a/src/turmericlug/direct/tracking.py
+++ b/src/turmericlug/direct/tracking.py
@@ -65,7 +65,7 @@
             service=replica.entry.service,
             replica=replica.entry.instance,
             age_ms=round(duration_ms, 1),
-            others=len(replica.sends) - 1,
+            others=len(replica.attempts) - 1,
         )
     if isinstance(outcome, sending.NotRun) and outcome.reason == sending.MISDIRECTED:
         replica.record_misdirected(now_s)
--- a/src/turmericlug/entry/inspection.py
+++ b/src/turmericlug/entry/inspection.py
@@ -175,7 +175,7 @@
             service,
             each.entry.data_centre,
             _state(each, now_s),
-            len(each.sends),
+            len(each.attempts),
             round(view.replicas.expected_ms(each, route, now_s), 1),
         )
         for each in view.replicas.of(service)
--- a/tests/direct/test_attempts.py
+++ b/tests/direct/test_attempts.py
@@ -235,7 +235,7 @@
         sender = scripted.make_sender({"s": scripts})
         loop = asyncio.get_running_loop()
         for replica in sender.replicas.all():
-            replica.sends.add(replica_module.Attempt(loop.time() - 1.0, 0.05))
+            replica.attempts.add(replica_module.Attempt(loop.time() - 1.0, 0.05))
         outcome = await attempts.get_answer(sender, scripted.make_call(), "s")
         await sender.tasks.close()
         assert isinstance(outcome, sending.Answered)
