--- a/src/turmericlug/direct/peers.py
+++ b/src/turmericlug/direct/peers.py
@@ -165,7 +165,7 @@
                 each.entry.data_centre
                 for each in sender.replicas.eligible(shard, route)
                 if self._place.distance(each.entry.data_centre) == distance
-                and not (each.set_aside(now_s) or each.overdue(now_s))
+                and not (each.is_set_aside(now_s) or each.has_overdue_attempt(now_s))
             }
         while candidates:
             counts = collections.Counter(
@@ -205,7 +205,7 @@
             each for each in self._instances.of(data_centre) if each.entry.instance not in names
         ]
         peer = self._instances.choose(data_centre, route, others, now_s)
-        if peer is None or peer.set_aside(now_s) or peer.overdue(now_s):
+        if peer is None or peer.is_set_aside(now_s) or peer.has_overdue_attempt(now_s):
             return None
         return peer
 
@@ -245,7 +245,7 @@
         """
         now_s = asyncio.get_running_loop().time()
         for peer in self.preferred_peers(shared):
-            if peer.set_aside(now_s) or peer.pool.open_count:
+            if peer.is_set_aside(now_s) or peer.pool.open_count:
                 continue
             try:
                 await peer.pool.warm()
--- a/src/turmericlug/direct/replica.py
+++ b/src/turmericlug/direct/replica.py
@@ -119,11 +119,11 @@
         until_s = now_s + min(left_ms / 1000, MAX_COLD_S)
         self.cold_until_s = max(self.cold_until_s, until_s)
 
-    def overdue(self, now_s: float) -> bool:
+    def has_overdue_attempt(self, now_s: float) -> bool:
         """Whether an attempt has been in flight for longer than a slow one takes."""
         return any(now_s - attempt.began_s > attempt.overdue_after_s for attempt in self.attempts)
 
-    def set_aside(self, now_s: float) -> bool:
+    def is_set_aside(self, now_s: float) -> bool:
         """Whether it recently failed, shed or was misdirected, and is not due for another try."""
         if now_s < self.ejected_until_s or now_s < self.shed_until_s or self.is_misdirected(now_s):
             return True
--- a/src/turmericlug/direct/replicas.py
+++ b/src/turmericlug/direct/replicas.py
@@ -184,7 +184,9 @@
             for service, replicas in self._by_service.items()
             if wanted(service)
             for each in self._to_warm(replicas.values(), far)
-            if each.pool.open_count == 0 and self._is_eligible(each) and not each.set_aside(now_s)
+            if each.pool.open_count == 0
+            and self._is_eligible(each)
+            and not each.is_set_aside(now_s)
         ]
         await asyncio.gather(
             *(self._warm(each, now_s) for each in unconnected[:MAX_WARMED_PER_ROUND])
@@ -330,7 +332,7 @@
             and each not in tried
             and self.cold_limit_allows(each, now_s)
         ]
-        available = [each for each in candidates if not each.set_aside(now_s)]
+        available = [each for each in candidates if not each.is_set_aside(now_s)]
         return min(
             available or candidates,
             key=lambda each: self.expected_ms(each, route, now_s),
@@ -349,7 +351,7 @@
         expected_ms *= 1 + SHED_FACTOR * replica.current_shed_share(now_s)
         if not replica.pool.has_idle:
             expected_ms += CONNECT_SHARE * median_ms
-        if replica.overdue(now_s):
+        if replica.has_overdue_attempt(now_s):
             expected_ms *= OVERDUE_FACTOR
         return expected_ms
 
--- a/src/turmericlug/entry/inspection.py
+++ b/src/turmericlug/entry/inspection.py
@@ -186,11 +186,11 @@
 def _state(replica: replica_module.Replica, now_s: float) -> str:
     if replica.leaving:
         return "leaving"
-    if replica.set_aside(now_s):
+    if replica.is_set_aside(now_s):
         return "set aside"
     if replica.is_cold(now_s):
         return "cold"
-    return "late" if replica.overdue(now_s) else "in use"
+    return "late" if replica.has_overdue_attempt(now_s) else "in use"
 
 
 def _version(view: view_module.View) -> int | None:
--- a/tests/entry/test_view.py
+++ b/tests/entry/test_view.py
@@ -326,7 +326,7 @@
         0,
         0,
     )
-    assert not known.set_aside(clock.now_s) and not known.leaving
+    assert not known.is_set_aside(clock.now_s) and not known.leaving
     assert former.pool.closed and not known.pool.closed
 
 
