--- a/src/turmericlug/direct/answering.py
+++ b/src/turmericlug/direct/answering.py
@@ -131,7 +131,7 @@
         # Attempts in flight complete on their own, so that their connections can be reused.
         for part in parts.values():
             part.cancel()
-        call.answered(timing.STUCK_AFTER_S)
+        call.shorten_timeouts(timing.STUCK_AFTER_S)
     return build_result(sender, call, parts)
 
 
--- a/src/turmericlug/direct/sending.py
+++ b/src/turmericlug/direct/sending.py
@@ -78,7 +78,7 @@
             return True
         return any(send.ran for send in self.sends_by_service.get(service, ()))
 
-    def answered(self, stuck_after_s: float) -> None:
+    def shorten_timeouts(self, stuck_after_s: float) -> None:
         """
         Shorten the timeouts of pending attempts, as the caller has its response.
 
--- a/src/turmericlug/entry/batches.py
+++ b/src/turmericlug/entry/batches.py
@@ -112,7 +112,7 @@
         finally:
             for part in parts:
                 part.cancel()
-            call.answered(timing.STUCK_AFTER_S)
+            call.shorten_timeouts(timing.STUCK_AFTER_S)
 
 
 def _log_first_answer(
