--- a/src/turmericlug/direct/answering.py
+++ b/src/turmericlug/direct/answering.py
@@ -114,7 +114,7 @@
         return refusal(sender, _no_replica_reason(sender, call, first_replicas))
     answer_after_ms = timing.answer_after_ms(
         call.route.goal_ms,
-        call.way_back_s * 1000,
+        call.response_latency_s * 1000,
         len(call.route.shards),
         sender.loop_lag_ms(),
     )
--- a/src/turmericlug/direct/sending.py
+++ b/src/turmericlug/direct/sending.py
@@ -43,7 +43,7 @@
     deadline_s: float
     """The caller's deadline or the route's timeout, whichever is sooner; event loop time."""
     sends: set[asyncio.Task[typing.Any]] = attrs.field(factory=set)
-    way_back_s: float = 0.0
+    response_latency_s: float = 0.0
     """Latency of a response to the caller."""
     answer_at_s: float | None = None
     """When a query over shards answers with the parts it has."""
--- a/src/turmericlug/entry/callers.py
+++ b/src/turmericlug/entry/callers.py
@@ -187,7 +187,7 @@
             version=version,
             began_s=min(request.began_s, sent_s - spent_ms / 1000),
             deadline_s=min(sent_s + left_ms / 1000, request.began_s + route.timeout_ms / 1000),
-            way_back_s=request.way_back_s,
+            response_latency_s=request.way_back_s,
             fingerprint=content.fingerprint(
                 request.method, target, headers, request.body, self.sender.names
             ),
@@ -237,7 +237,7 @@
         began_s = loop.time()
         try:
             result = await answering.query_shards(self.sender, call)
-            received_s = loop.time() + call.way_back_s
+            received_s = loop.time() + call.response_latency_s
             in_time = result.answer.status == 200 and received_s <= call.goal_at_s
             return result
         finally:
