--- a/src/turmericlug/direct/handover.py
+++ b/src/turmericlug/direct/handover.py
@@ -301,7 +301,7 @@
         answer_in_ms=max(left_ms, 1.0),
         time_left_ms=max((call.deadline_s - now_s) * 1000 - round_trip_ms / 2, 1.0),
         data_centre=pending.peer.entry.data_centre,
-        again=pending.maybe_sent_before,
+        maybe_sent_before=pending.maybe_sent_before,
         regions=call.route.regions,
     )
 
--- a/src/turmericlug/direct/handover_codec.py
+++ b/src/turmericlug/direct/handover_codec.py
@@ -35,7 +35,7 @@
     time_left_ms: float
     data_centre: str
     """Data centre of the peer. All instances there send a part to the same replicas."""
-    again: bool = False
+    maybe_sent_before: bool = False
     """Whether another instance there may have sent the parts, which leaves one attempt for each."""
     regions: frozenset[str] | None = None
     """The only regions whose replicas may get the parts; ``None`` allows all."""
@@ -79,7 +79,7 @@
         answerInMs=batch.answer_in_ms,
         timeLeftMs=batch.time_left_ms,
         dataCentre=batch.data_centre,
-        again=batch.again,
+        again=batch.maybe_sent_before,
         bound=batch.regions is not None,
         regions=sorted(batch.regions or ()),
     )
@@ -111,7 +111,7 @@
             answer_in_ms=message.answerInMs,
             time_left_ms=message.timeLeftMs,
             data_centre=message.dataCentre,
-            again=message.again,
+            maybe_sent_before=message.again,
             regions=frozenset(message.regions) if message.bound else None,
         )
     except Exception as error:  # the library raises a different type for each kind of damage
--- a/src/turmericlug/entry/batches.py
+++ b/src/turmericlug/entry/batches.py
@@ -80,7 +80,11 @@
     parts = {
         loop.create_task(
             attempts.get_answer(
-                sender, call, shard, handover_data_centre=batch.data_centre, is_retry=batch.again
+                sender,
+                call,
+                shard,
+                handover_data_centre=batch.data_centre,
+                is_retry=batch.maybe_sent_before,
             )
         ): shard
         for shard in batch.shards
--- a/tests/direct/test_handover.py
+++ b/tests/direct/test_handover.py
@@ -220,7 +220,9 @@
         now_s = asyncio.get_running_loop().time()
         for replica in sender.replicas.of("x")[:ejected]:
             replica.ejected_until_s = now_s + 60
-        batch = attrs.evolve(handing.BATCH, request_id=request_id, shards=("x",), again=again)
+        batch = attrs.evolve(
+            handing.BATCH, request_id=request_id, shards=("x",), maybe_sent_before=again
+        )
         body = handover_codec.encode_batch(batch)
         request = messages.Request(b"POST", handover.PATH, (), body, now_s)
         answer = await batches.handler(sender)(request)
@@ -255,7 +257,7 @@
         relative_latencies = (0.01, 9.0, 1.5)
         for replica, pace in zip(sender.replicas.of("x"), relative_latencies, strict=True):
             replica.relative_latency, replica.relative_latency_at_s = pace, now_s
-        batch = attrs.evolve(handing.BATCH, shards=("x",), again=False)
+        batch = attrs.evolve(handing.BATCH, shards=("x",), maybe_sent_before=False)
         body = handover_codec.encode_batch(batch)
         request = messages.Request(b"POST", handover.PATH, (), body, now_s)
         answer = await batches.handler(sender)(request)
--- a/tests/direct/test_regions.py
+++ b/tests/direct/test_regions.py
@@ -142,7 +142,9 @@
 
     async def main():
         sender = handing.make_sender(scripts)
-        batch = attrs.evolve(handing.BATCH, regions=THERE, again=False, answer_in_ms=150.0)
+        batch = attrs.evolve(
+            handing.BATCH, regions=THERE, maybe_sent_before=False, answer_in_ms=150.0
+        )
         content = handover_codec.encode_batch(batch)
         now_s = asyncio.get_running_loop().time()
         request = messages.Request(b"POST", b"/parts", ((b"host", b"h"),), content, now_s)
--- a/tests/handing.py
+++ b/tests/handing.py
@@ -37,7 +37,7 @@
     answer_in_ms=50.0,
     time_left_ms=500.0,
     data_centre="far",
-    again=True,
+    maybe_sent_before=True,
 )
 
 
