--- a/src/turmericlug/direct/peers.py
+++ b/src/turmericlug/direct/peers.py
@@ -127,10 +127,10 @@
     ) -> list[Assignment]:
         """Assign to peers the shards that they should send to instead of this instance."""
         by_data_centre = self._choose_data_centres(sender, call.route, first, now_s)
-        shared = not placement.all_send_directly(sender.instance_count())
+        shards_have_owners = not placement.all_send_directly(sender.instance_count())
         assignments: list[Assignment] = []
         for data_centre, shards in by_data_centre.items():
-            if shared:
+            if shards_have_owners:
                 assignments += self._assign_to_owners(data_centre, shards, call.route, now_s)
             elif data_centre != self._place.data_centre and len(shards) >= MIN_SHARDS_PER_BATCH:
                 names = placement.preferred(
@@ -209,21 +209,21 @@
             return None
         return peer
 
-    def preferred_peers(self, shared: bool) -> list[replica_module.Replica]:
+    def preferred_peers(self, shards_have_owners: bool) -> list[replica_module.Replica]:
         """
         Return the peers that this instance hands batches to.
 
         They are a few fixed ones per data centre, so that connections stay in use and their number
         does not grow with the number of instances.
 
-        :param shared: whether instances are so many that each shard has owners
+        :param shards_have_owners: whether instances are so many that each shard has owners
         """
-        if shared in self._preferred:
-            return self._preferred[shared]
-        found = self._preferred[shared] = []
+        if shards_have_owners in self._preferred:
+            return self._preferred[shards_have_owners]
+        found = self._preferred[shards_have_owners] = []
         for data_centre in {each.entry.data_centre for each in self._instances.all()}:
             names = self._instance_names(data_centre)
-            if shared:
+            if shards_have_owners:
                 preferred = {name for owners in placement.owners_by_group(names) for name in owners}
             elif data_centre == self._place.data_centre:
                 continue
@@ -234,17 +234,17 @@
             ]
         return found
 
-    async def warm(self, shared: bool) -> None:
+    async def warm(self, shards_have_owners: bool) -> None:
         """
         Open connections to the preferred peers before they are needed.
 
         The first batch on a new connection takes an extra round trip, which is enough to miss a
         latency goal of 135 ms.
 
-        :param shared: whether instances are so many that each shard has owners
+        :param shards_have_owners: whether instances are so many that each shard has owners
         """
         now_s = asyncio.get_running_loop().time()
-        for peer in self.preferred_peers(shared):
+        for peer in self.preferred_peers(shards_have_owners):
             if peer.is_set_aside(now_s) or peer.pool.open_count:
                 continue
             try:
--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -316,7 +316,7 @@
     peers = sender.handover.peers
     while True:
         all_direct = placement.all_send_directly(sender.instance_count())
-        await peers.warm(shared=not all_direct)
+        await peers.warm(shards_have_owners=not all_direct)
         await sender.replicas.warm(
             loop.time(), lambda service: peers.sends_directly(sender, service), far=all_direct
         )
--- a/tests/direct/test_peers.py
+++ b/tests/direct/test_peers.py
@@ -58,22 +58,22 @@
 def test_connections_to_preferred_peers_are_prewarmed():
     async def main():
         async with handing.peer(handing.silent) as towards:
-            await towards.peers.warm(shared=False)
-            (preferred,) = towards.peers.preferred_peers(shared=False)
+            await towards.peers.warm(shards_have_owners=False)
+            (preferred,) = towards.peers.preferred_peers(shards_have_owners=False)
             assert preferred.pool.open_count == 1
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize(
-    ("instances", "shared", "least", "most"),
+    ("instances", "shards_have_owners", "least", "most"),
     [(4, False, 4, 4), (30, False, 4, 4), (24, True, 8, 8), (3, True, 3, 3)],
 )
-def test_number_of_preferred_peers(instances, shared, least, most):
+def test_number_of_preferred_peers(instances, shards_have_owners, least, most):
     peers = replicas_module.Replicas(lambda entry: None, handing.PLACE, budget.Allowance())
     for number in range(instances):
         peers.put(routes.ReplicaEntry(f"e{number}", "far", "h", 1, "far", 1, False, 0))
-    preferred = peers_module.Peers(peers, handing.PLACE).preferred_peers(shared)
+    preferred = peers_module.Peers(peers, handing.PLACE).preferred_peers(shards_have_owners)
     assert least <= len(preferred) <= most
 
 
