--- a/src/turmericlug/direct/pool.py
+++ b/src/turmericlug/direct/pool.py
@@ -80,7 +80,7 @@
     """Connections that are open or being opened."""
     opened: int = 0
     """Connections opened since the pool was created."""
-    opened_ahead: int = 0
+    prewarmed: int = 0
     """Those of them that were prewarmed."""
     _idle: collections.deque[client.Connection] = attrs.field(factory=collections.deque)
     _waiters: list[tuple[int, int, asyncio.Future[None]]] = attrs.field(factory=list)
@@ -200,7 +200,7 @@
         """
         if self.open_count == 0 and self.limit() > 0 and not self.closed:
             connection = await self._open()
-            self.opened_ahead += 1
+            self.prewarmed += 1
             self._idle.append(connection)
             self._wake_next()
 
--- a/src/turmericlug/direct/replicas.py
+++ b/src/turmericlug/direct/replicas.py
@@ -117,7 +117,7 @@
             "open": sum(pool.open_count for pool, _ in pools),
             "opened_near": sum(pool.opened for pool, near in pools if near),
             "opened_far": sum(pool.opened for pool, near in pools if not near),
-            "opened_ahead": sum(pool.opened_ahead for pool, _ in pools),
+            "opened_ahead": sum(pool.prewarmed for pool, _ in pools),
         }
 
     def all(self) -> abc.Iterable[replica_module.Replica]:
--- a/tests/entry/test_inspection.py
+++ b/tests/entry/test_inspection.py
@@ -24,7 +24,7 @@
 
 
 class IdlePool:
-    waiting = open_count = opened = opened_ahead = 0
+    waiting = open_count = opened = prewarmed = 0
     has_idle = True
 
     def trim(self):
