--- a/src/turmericlug/direct/answering.py
+++ b/src/turmericlug/direct/answering.py
@@ -189,13 +189,13 @@
     progress = _Progress(len(parts), min_parts(call), loop.create_future())
     for part in parts.values():
         part.add_done_callback(progress.part_ended)
-    goal_near = loop.call_at(answer_at_s, progress.on_goal_near)
-    deadline = loop.call_at(call.deadline_s, progress.decide)
+    goal_timer = loop.call_at(answer_at_s, progress.on_goal_near)
+    deadline_timer = loop.call_at(call.deadline_s, progress.decide)
     try:
         await progress.decided
     finally:
-        goal_near.cancel()
-        deadline.cancel()
+        goal_timer.cancel()
+        deadline_timer.cancel()
 
 
 @attrs.define
@@ -258,17 +258,17 @@
 def build_result(sender: sender_module.Sender, call: sending.Call, parts: Parts) -> Result:
     """Answer with the parts received; refuse or fail if they are too few."""
     answers = {shard: _success(part) for shard, part in parts.items()}
-    present = [answer for answer in answers.values() if answer is not None]
+    received = [answer for answer in answers.values() if answer is not None]
     missing = [shard for shard, answer in answers.items() if answer is None]
-    if len(present) < min_parts(call):
+    if len(received) < min_parts(call):
         return _too_few_shards(sender, call, parts)
     headers = [
-        (sender.names.part_signatures, b", ".join(each.signature for each in present)),
+        (sender.names.part_signatures, b", ".join(answer.signature for answer in received)),
         (sender.names.missing_parts, b"%d" % len(missing)),
         (sender.names.request_id, call.request_id),
         (b"content-type", b"application/octet-stream"),
     ]
-    body = merge.greatest_records(_record_sets(present), call.route.top_records)
+    body = merge.greatest_records(_record_sets(received), call.route.top_records)
     answer = messages.Answer(200, tuple(headers), body)
     if not missing:
         return Result(answer, "answered")
@@ -279,8 +279,10 @@
 
 def _record_sets(answers: list[Success]) -> list[bytes]:
     """Return the records of all answers; shards of one batch share theirs, which count once."""
-    unbatched = [each.response.body for each in answers if isinstance(each, sending.Answered)]
-    batched = {id(each.records): each.records for each in answers if not _is_unbatched(each)}
+    unbatched = [answer.response.body for answer in answers if isinstance(answer, sending.Answered)]
+    batched = {
+        id(answer.records): answer.records for answer in answers if not _is_unbatched(answer)
+    }
     return [*unbatched, *batched.values()]
 
 
@@ -310,7 +312,7 @@
     their end. Whether those parts can have run follows from their attempts.
     """
     ended = {shard: part.result() for shard, part in parts.items() if _has_ended(part)}
-    not_run = [each for each in ended.values() if isinstance(each, sending.NotRun)]
+    not_run = [outcome for outcome in ended.values() if isinstance(outcome, sending.NotRun)]
     may_run = any(call.may_have_run(shard) for shard in parts if shard not in ended)
     if len(not_run) == len(ended) and not may_run:
         reasons = {outcome.reason.partition(":")[0] for outcome in not_run}
--- a/src/turmericlug/direct/attempts.py
+++ b/src/turmericlug/direct/attempts.py
@@ -26,40 +26,39 @@
 STALL_CATCH_UP_S = 0.01
 """Time after a stall to read the responses that arrived during it."""
 MAX_SAME_REPLICA_RETRIES = 2
-"""Retries at replicas that have failed the request before, once it may reach no others. A replica
+"""Retries at replicas that have failed the request, once it may be sent to no others. A replica
 that loses part of its responses often delivers the next one."""
 MAX_UNSENT = 3
-"""Requests that got no connection do not count as attempts; after more than this many, a service
-whose replicas all refuse connections is given up."""
+"""Attempts without a connection do not count towards the route's limit; after more than this many,
+a service whose replicas all refuse connections is given up."""
 
 
 @attrs.define(eq=False)
-class _Pending:
+class _PendingAttempt:
     """An attempt in flight."""
 
     replica: replica_module.Replica
-    send: replica_module.Attempt
+    attempt: replica_module.Attempt
 
     @property
     def began_s(self) -> float:
-        return self.send.began_s
+        return self.attempt.began_s
 
 
 @attrs.define(eq=False)
-class _AttemptState:
+class _RequestState:
     """The state of one request's attempts at one service."""
 
     sender: sender_module.Sender
     call: sending.Call
     service: str
-    shared_replica: str = ""
-    """The replica that other instances may send the request to as well; it counts as one of those
-    that the request may reach."""
+    common_replica: str = ""
+    """The replica that other instances may also send the request to; it counts as reached."""
     forbidden: list[replica_module.Replica] = attrs.field(factory=list)
     """Replicas that the request must not be sent to."""
     tried: list[replica_module.Replica] = attrs.field(factory=list)
     """Replicas that the request was sent to, except those that may be retried."""
-    reached: collections.Counter[str] = attrs.field(factory=collections.Counter)
+    attempts_by_replica: collections.Counter[str] = attrs.field(factory=collections.Counter)
     """Number of attempts per replica, except those that got no connection."""
     shed_by: list[replica_module.Replica] = attrs.field(factory=list)
     """Replicas that shed the request without running it."""
@@ -70,10 +69,11 @@
     delayed_retries: int = 0
     retry_at_s: float | None = None
     """When to retry after the current delay, if no attempt is in flight."""
-    pending: dict[asyncio.Task[sending.Outcome], _Pending] = attrs.field(factory=dict)
-    attempts: int = 0
+    pending: dict[asyncio.Task[sending.Outcome], _PendingAttempt] = attrs.field(factory=dict)
+    attempt_count: int = 0
     """Attempts that may have run the request."""
     unsent: int = 0
+    """Attempts that sent nothing."""
     hedge_denied: bool = False
     hedge_not_before_s: float = 0.0
     """When hedging resumes after a stall of this process; 0 if there was none."""
@@ -85,7 +85,7 @@
     sender: sender_module.Sender,
     call: sending.Call,
     service: str,
-    first: replica_module.Replica | None = None,
+    first_replica: replica_module.Replica | None = None,
     handover_data_centre: str = "",
     is_retry: bool = False,
 ) -> sending.Outcome:
@@ -95,11 +95,11 @@
     Cancelling it leaves attempts in flight to complete, so that their connections can be reused;
     ``call.abandon`` cancels them.
 
-    :param first: replica for the first attempt, if it has been chosen already
-    :param handover_data_centre: data centre whose instances the part was handed over to, if it was;
-        all of them use the same replicas
+    :param first_replica: replica for the first attempt, if it has been chosen already
+    :param handover_data_centre: data centre of the instances to which the part was handed over, if
+        it was; all of them use the same replicas
     :param is_retry: whether one of them may have sent the request before; it then gets one more
-        attempt, within the budget for hedges and retries
+        attempt, within the retry budget
     :returns: the first answer, or the failure; ``NotRun`` only if no attempt can have run
     """
     if not sender.quarantine.may_send(call):
@@ -109,9 +109,9 @@
             else sending.NotRun(sending.CRASHES_REPLICAS, sent=False)
         )
     loop = asyncio.get_running_loop()
-    state = _AttemptState(sender, call, service)
+    state = _RequestState(sender, call, service)
     if handover_data_centre:
-        state.shared_replica = sender.replicas.common(
+        state.common_replica = sender.replicas.common_replica(
             service, call.route, call.request_id, handover_data_centre
         )
     if not is_retry:
@@ -120,26 +120,28 @@
         sender.counters.add("direct.repeat_denied.budget")
         return sending.Unknown("budget")
     else:
-        state.attempts = call.route.max_attempts - 1
+        state.attempt_count = call.route.max_attempts - 1
         state.same_replica_retries = MAX_SAME_REPLICA_RETRIES
-        replicas = sender.replicas.of(service) if state.shared_replica else []
-        state.forbidden = [each for each in replicas if each.entry.instance != state.shared_replica]
+        replicas = sender.replicas.of(service) if state.common_replica else []
+        state.forbidden = [
+            replica for replica in replicas if replica.entry.instance != state.common_replica
+        ]
         state.failure = sending.Unknown("batch_lost")
     try:
-        return await _first_answer(state, first)
+        return await _first_answer(state, first_replica)
     finally:
         # Also if this is cancelled because the query or its caller has stopped waiting.
         call.drop_unwritten(service)
 
 
 async def _first_answer(
-    state: _AttemptState, first: replica_module.Replica | None
+    state: _RequestState, first_replica: replica_module.Replica | None
 ) -> sending.Outcome:
     """Attempt, hedge and retry until there is an answer or no further attempt is allowed."""
     loop = asyncio.get_running_loop()
     call = state.call
-    if first is not None:
-        _send_to(state, first, loop.time())
+    if first_replica is not None:
+        _send_to(state, first_replica, loop.time())
     else:
         _send_first(state, loop.time())
     while state.pending or state.retry_at_s is not None:
@@ -171,14 +173,14 @@
     return state.failure
 
 
-def _deadline_outcome(state: _AttemptState) -> sending.Outcome:
+def _deadline_outcome(state: _RequestState) -> sending.Outcome:
     """Return the outcome at the deadline: ``NotRun`` only if no attempt in flight may still run."""
     if state.pending and isinstance(state.failure, sending.NotRun):
         return sending.Unknown("deadline")
     return state.failure
 
 
-def _wait_timeout_s(state: _AttemptState, now_s: float) -> float:
+def _wait_timeout_s(state: _RequestState, now_s: float) -> float:
     """Return how long to wait for pending attempts until a hedge or the deadline is due."""
     left_s = max(state.call.deadline_s - now_s, 0.0)
     if not _may_hedge(state):
@@ -190,53 +192,53 @@
     return min(max(hedge_at_s - now_s, 0.0), left_s)
 
 
-def _hedge_age_ms(state: _AttemptState, pending: _Pending) -> float:
+def _hedge_age_ms(state: _RequestState, pending: _PendingAttempt) -> float:
     """Return the age at which a pending attempt is hedged."""
     replicas, call = state.sender.replicas, state.call
     late_after_ms = replicas.hedge_after_ms(pending.replica, call.route)
     if call.answer_at_s is None:
         return late_after_ms
     left_ms = (call.answer_at_s - pending.began_s) * 1000
-    second_ms = replicas.max_median_ms(state.service, call.route)
-    return timing.deferred_hedge_ms(late_after_ms, left_ms, second_ms)
+    second_attempt_ms = replicas.max_median_ms(state.service, call.route)
+    return timing.deferred_hedge_ms(late_after_ms, left_ms, second_attempt_ms)
 
 
-def _may_hedge(state: _AttemptState) -> bool:
+def _may_hedge(state: _RequestState) -> bool:
     """Whether the only attempt in flight, not yet completed, may be hedged once it is late."""
     call = state.call
     return (
         call.route.idempotent
         and len(state.pending) == 1
-        and all(each.send.ended_s is None for each in state.pending.values())
-        and state.attempts < call.route.max_attempts
+        and all(pending.attempt.ended_s is None for pending in state.pending.values())
+        and state.attempt_count < call.route.max_attempts
         and not state.hedge_denied
     )
 
 
 def _record_failure(
-    state: _AttemptState, outcome: sending.Outcome, replica: replica_module.Replica
+    state: _RequestState, outcome: sending.Outcome, replica: replica_module.Replica
 ) -> None:
     if not isinstance(outcome, sending.NotRun):
         state.failure = outcome
         if not sending.timed_out(outcome) and outcome != sending.ABANDONED:
             state.failed_by.append(replica)
         return
-    state.attempts -= 1
+    state.attempt_count -= 1
     if not outcome.sent:
         state.unsent += 1
-        state.reached[replica.entry.instance] -= 1
+        state.attempts_by_replica[replica.entry.instance] -= 1
     elif outcome.reason != sending.MISDIRECTED:
         state.shed_by.append(replica)
     if isinstance(state.failure, sending.NotRun):
         state.failure = outcome
 
 
-def _hedge(state: _AttemptState, now_s: float) -> None:
+def _hedge(state: _RequestState, now_s: float) -> None:
     sender, call = state.sender, state.call
     if not _may_hedge(state):
         return
     (pending,) = state.pending.values()
-    other = _choose(state, now_s)
+    other = _choose_replica(state, now_s)
     denial = _hedge_denial(state, other, now_s)
     if denial:
         state.hedge_denied = True
@@ -255,7 +257,7 @@
     _send_to(state, other, now_s)
 
 
-def _hedge_denial(state: _AttemptState, other: replica_module.Replica | None, now_s: float) -> str:
+def _hedge_denial(state: _RequestState, other: replica_module.Replica | None, now_s: float) -> str:
     """
     Return why a late part must not be hedged; empty if it may be.
 
@@ -271,13 +273,13 @@
     return "" if state.sender.spend_retry_budget(state.service, now_s) else "budget"
 
 
-def _retry(state: _AttemptState, now_s: float) -> None:
+def _retry(state: _RequestState, now_s: float) -> None:
     """Retry after a failure, unless this could make a non-idempotent request run twice."""
     sender, call = state.sender, state.call
     failure = state.failure
     if state.pending:
         return
-    if state.attempts >= call.route.max_attempts and not _readmit_failed_replicas(state):
+    if state.attempt_count >= call.route.max_attempts and not _readmit_failed_replicas(state):
         return
     if state.unsent > MAX_UNSENT:
         return
@@ -288,12 +290,12 @@
         sender.counters.add("direct.repeat_denied.ends_replicas")
         _schedule_retry(state, now_s, suspected=sender.quarantine.is_suspected(call))
         return
-    replica = _choose(state, now_s)
+    replica = _choose_replica(state, now_s)
     if replica is None:
         _schedule_retry(state, now_s)
         return
     reason = sending.reason(failure).partition(":")[0]
-    if state.reached.total() and not sender.spend_retry_budget(state.service, now_s):
+    if state.attempts_by_replica.total() and not sender.spend_retry_budget(state.service, now_s):
         sender.counters.add("direct.repeat_denied.budget")
         decisions.log(
             "send.not_repeated", request=call.request_id, service=state.service, reason=reason
@@ -312,7 +314,7 @@
     _send_to(state, replica, now_s)
 
 
-def _readmit_failed_replicas(state: _AttemptState) -> bool:
+def _readmit_failed_replicas(state: _RequestState) -> bool:
     """
     Allow a retry at replicas that failed the request, as it may reach no further ones.
 
@@ -324,11 +326,11 @@
     if state.same_replica_retries >= MAX_SAME_REPLICA_RETRIES:
         return False
     state.same_replica_retries += 1
-    state.tried = [each for each in state.tried if each not in state.failed_by]
+    state.tried = [replica for replica in state.tried if replica not in state.failed_by]
     return True
 
 
-def _schedule_retry(state: _AttemptState, now_s: float, suspected: bool = False) -> None:
+def _schedule_retry(state: _RequestState, now_s: float, suspected: bool = False) -> None:
     """
     Schedule a retry at replicas that shed the request, once no other replica is left to try.
 
@@ -343,20 +345,20 @@
         state.retry_at_s = now_s + delay_s
 
 
-async def _retry_when_due(state: _AttemptState) -> None:
+async def _retry_when_due(state: _RequestState) -> None:
     """Wait for the scheduled retry, readmit the replicas that shed the request, and retry."""
     loop = asyncio.get_running_loop()
     await asyncio.sleep(max(state.retry_at_s - loop.time(), 0.0))
     state.retry_at_s = None
     state.delayed_retries += 1
-    state.tried = [each for each in state.tried if each not in state.shed_by]
+    state.tried = [replica for replica in state.tried if replica not in state.shed_by]
     state.shed_by.clear()
     _retry(state, loop.time())
 
 
-def _send_first(state: _AttemptState, now_s: float) -> None:
+def _send_first(state: _RequestState, now_s: float) -> None:
     """Make the first attempt at the best replica, if there is one."""
-    replica = _choose(state, now_s)
+    replica = _choose_replica(state, now_s)
     if replica is not None:
         _send_to(state, replica, now_s)
         return
@@ -365,36 +367,38 @@
         state.failure = sending.NotRun(reason, sent=False)
 
 
-def _choose(state: _AttemptState, now_s: float) -> replica_module.Replica | None:
+def _choose_replica(state: _RequestState, now_s: float) -> replica_module.Replica | None:
     """Choose the best replica that the request may be sent to now."""
     replicas, call = state.sender.replicas, state.call
     excluded = [*state.forbidden, *state.tried]
-    reached = {name for name, count in state.reached.items() if count}
-    if state.shared_replica:
-        reached.add(state.shared_replica)
+    reached = {name for name, count in state.attempts_by_replica.items() if count}
+    if state.common_replica:
+        reached.add(state.common_replica)
     if len(reached) >= call.route.max_attempts:
         excluded += [
-            each for each in replicas.of(state.service) if each.entry.instance not in reached
+            replica
+            for replica in replicas.of(state.service)
+            if replica.entry.instance not in reached
         ]
     return replicas.choose(state.service, call.route, excluded, now_s)
 
 
-def _send_to(state: _AttemptState, replica: replica_module.Replica, now_s: float) -> None:
+def _send_to(state: _RequestState, replica: replica_module.Replica, now_s: float) -> None:
     sender, call = state.sender, state.call
     late_after_ms = sender.replicas.hedge_after_ms(replica, call.route)
-    send = replica_module.Attempt(now_s, late_after_ms / 1000, replica.entry.instance)
+    attempt = replica_module.Attempt(now_s, late_after_ms / 1000, replica.entry.instance)
     # Registered before its task runs, so that a cancellation in the same loop iteration finds it.
-    replica.attempts.add(send)
+    replica.attempts.add(attempt)
     if replica.is_cold(now_s):
         replica.cold_sent_s = now_s
-    call.sends_by_service.setdefault(state.service, []).append(send)
-    task = sender.tasks.start(tracking.send_and_record(sender, call, replica, send))
+    call.attempts_by_service.setdefault(state.service, []).append(attempt)
+    task = sender.tasks.start(tracking.send_and_record(sender, call, replica, attempt))
     near = sender.replicas.in_own_region(replica.entry.data_centre)
     sender.counters.add("direct.sent.near" if near else "direct.sent.far")
-    call.sends.add(task)
-    task.add_done_callback(call.sends.discard)
-    task.add_done_callback(lambda _: replica.attempts.discard(send))
+    call.tasks.add(task)
+    task.add_done_callback(call.tasks.discard)
+    task.add_done_callback(lambda _: replica.attempts.discard(attempt))
     state.tried.append(replica)
-    state.reached[replica.entry.instance] += 1
-    state.pending[task] = _Pending(replica, send)
-    state.attempts += 1
+    state.attempts_by_replica[replica.entry.instance] += 1
+    state.pending[task] = _PendingAttempt(replica, attempt)
+    state.attempt_count += 1
--- a/src/turmericlug/direct/budget.py
+++ b/src/turmericlug/direct/budget.py
@@ -75,9 +75,9 @@
 
         :param share: this instance's share of the slack
         """
-        current = int(now_s / self._slice_s)
-        requests = _window_total(self._requests, current)
-        extras = _window_total(self._extras, current)
+        current_slice = int(now_s / self._slice_s)
+        requests = _window_total(self._requests, current_slice)
+        extras = _window_total(self._extras, current_slice)
         allowance = self._allowance
         allowed = allowance.ratio * requests + allowance.slack * share
         return SAFETY_FACTOR * allowed - extras
@@ -98,7 +98,9 @@
     return (1 - OWNERS_SLACK_SHARE) / max(instances, 1)
 
 
-def _window_total(counts: collections.Counter[int], current: int) -> int:
-    for expired in [each for each in counts if each < current - _SLICES]:
+def _window_total(counts: collections.Counter[int], current_slice: int) -> int:
+    for expired in [
+        slice_number for slice_number in counts if slice_number < current_slice - _SLICES
+    ]:
         del counts[expired]
     return sum(counts.values())
--- a/src/turmericlug/direct/handover.py
+++ b/src/turmericlug/direct/handover.py
@@ -1,5 +1,5 @@
 """
-Hands over the parts of a query with remote replicas to a peer, an instance near those replicas.
+Hands the parts of a query whose replicas are remote to a peer: an instance near those replicas.
 
 Each part that is sent between regions on its own costs a request and a response on the most
 expensive links. A batch crosses them once, and its answers come back merged. The peer confirms a
@@ -31,10 +31,11 @@
 it can't tell how old the batch is."""
 INTERIM_TIMEOUT_FACTOR = 1.5
 INTERIM_TIMEOUT_SLACK_MS = 50.0
-"""The interim response is overdue after 1.5 round trips and a few busy turns of the peer's event
-loop. Sooner, busy instances would count as lost; later, direct attempts would miss the goal."""
+"""The interim response is overdue after 1.5 round trips and a few iterations of a busy peer's event
+loop. With a shorter timeout, busy instances would count as lost; with a longer one, direct attempts
+would miss the goal."""
 RETURN_MARGIN_MS = 4.0
-"""Time for an answer in addition to the round trip: one turn of the event loop at each end."""
+"""Time for an answer in addition to the round trip: one iteration of the event loop at each end."""
 
 
 @attrs.define(eq=False)
@@ -73,7 +74,7 @@
     @property
     def open_shards(self) -> tuple[str, ...]:
         """The shards without an outcome."""
-        return tuple(each for each in self.shards if not self.outcomes[each].done())
+        return tuple(shard for shard in self.shards if not self.outcomes[shard].done())
 
     def move_to(self, peer: replica_module.Replica) -> None:
         """Assign the shards without an outcome to another peer."""
@@ -97,26 +98,28 @@
         self,
         sender: sender_module.Sender,
         call: sending.Call,
-        first_choices: peers_module.FirstReplicas,
+        first_replicas: peers_module.FirstReplicas,
         answer_at_s: float,
     ) -> dict[str, PendingBatch]:
         """
-        Start the batches of the shards that peers should send to.
+        Start the batches of the shards that are handed over to peers.
 
         :returns: the batch of each shard that is in one
         """
         loop = asyncio.get_running_loop()
         by_shard: dict[str, PendingBatch] = {}
-        for group in self.peers.plan(sender, call, first_choices, loop.time()):
-            pending = PendingBatch(group.peer, group.shards)
-            pending.outcomes = {shard: loop.create_future() for shard in group.shards}
+        for assignment in self.peers.plan(sender, call, first_replicas, loop.time()):
+            pending = PendingBatch(assignment.peer, assignment.shards)
+            pending.outcomes = {shard: loop.create_future() for shard in assignment.shards}
             task = sender.tasks.start(self._run_batch(sender, call, pending, answer_at_s))
-            call.sends.add(task)
-            task.add_done_callback(call.sends.discard)
-            by_shard.update(dict.fromkeys(group.shards, pending))
+            call.tasks.add(task)
+            task.add_done_callback(call.tasks.discard)
+            by_shard.update(dict.fromkeys(assignment.shards, pending))
             sender.counters.add("handover.sent")
-            sender.counters.add("handover.shards", len(group.shards))
-            call.handed_over.update(dict.fromkeys(group.shards, group.peer.entry.instance))
+            sender.counters.add("handover.shards", len(assignment.shards))
+            call.handed_over.update(
+                dict.fromkeys(assignment.shards, assignment.peer.entry.instance)
+            )
         return by_shard
 
     async def _run_batch(
@@ -144,22 +147,24 @@
         """Attempt a batch and apply its answers; return false if the batch is lost."""
         loop = asyncio.get_running_loop()
         peer = pending.peer
-        send = replica_module.Attempt(loop.time(), self._interim_timeout_s(peer.entry.data_centre))
-        peer.attempts.add(send)
+        attempt = replica_module.Attempt(
+            loop.time(), self._interim_timeout_s(peer.entry.data_centre)
+        )
+        peer.attempts.add(attempt)
         try:
-            await self._send_batch(sender, call, pending, answer_at_s, send)
+            await self._send_batch(sender, call, pending, answer_at_s, attempt)
         except (
             client.ConnectError,
             client.ExchangeError,
             handover_codec.MessageError,
         ) as error:
-            self._record_loss(sender, call, pending, str(error), send.began_s)
+            self._record_loss(sender, call, pending, str(error), attempt.began_s)
             return False
         except TimeoutError:
-            self._record_loss(sender, call, pending, "silent", send.began_s)
+            self._record_loss(sender, call, pending, "silent", attempt.began_s)
             return False
         finally:
-            peer.attempts.discard(send)
+            peer.attempts.discard(attempt)
         peer.record_success(1.0, 1.0, loop.time())
         return True
 
@@ -202,14 +207,14 @@
         call: sending.Call,
         pending: PendingBatch,
         answer_at_s: float,
-        send: replica_module.Attempt,
+        attempt: replica_module.Attempt,
     ) -> None:
         loop = asyncio.get_running_loop()
         data_centre = pending.peer.entry.data_centre
-        async with asyncio.timeout(self._interim_timeout_s(data_centre)) as limit:
+        async with asyncio.timeout(self._interim_timeout_s(data_centre)) as timeout:
             async with pending.peer.pool.connection(call.route.priority) as connection:
-                send.began_s = now_s = loop.time()
-                batch = _batch(
+                attempt.began_s = now_s = loop.time()
+                batch = _make_batch(
                     call, pending, now_s, answer_at_s, self.peers.round_trip_ms(data_centre)
                 )
                 first_answer_by_s = (
@@ -217,16 +222,18 @@
                 )
 
                 def on_interim() -> None:
-                    # The peer is alive: from now on the batch is overdue only if its first answer
-                    # is. If its parts can't be sent to arbitrary replicas again, wait until the
-                    # deadline, since the peer may only be busy.
-                    few_replicas = all(
-                        _has_few_replicas(sender, call, each) for each in pending.shards
+                    # The peer has the batch, which is now overdue only if its first answer is. Wait
+                    # until the deadline, as the peer may only be busy, unless the parts may reach
+                    # all their replicas and so can be sent again.
+                    may_send_again = all(
+                        _may_reach_all_replicas(sender, call, shard) for shard in pending.shards
                     )
-                    limit.reschedule(
-                        min(first_answer_by_s, call.deadline_s) if few_replicas else call.deadline_s
+                    timeout.reschedule(
+                        min(first_answer_by_s, call.deadline_s)
+                        if may_send_again
+                        else call.deadline_s
                     )
-                    send.overdue_after_s = first_answer_by_s - send.began_s
+                    attempt.overdue_after_s = first_answer_by_s - attempt.began_s
 
                 def on_chunk(chunk: bytes) -> None:
                     answer = handover_codec.decode_answer(chunk, pending.shards)
@@ -235,11 +242,11 @@
                         self.peers.record_round_trip(data_centre, duration_ms - answer.spent_ms)
                         sender.counters.time_ms("handover.total_ms", duration_ms)
                         # The peer waits for the remaining slow parts until the caller's deadline.
-                        limit.reschedule(call.deadline_s)
-                        send.overdue_after_s = call.deadline_s - send.began_s
+                        timeout.reschedule(call.deadline_s)
+                        attempt.overdue_after_s = call.deadline_s - attempt.began_s
                     pending.apply(answer)
 
-                limit.reschedule(now_s + self._interim_timeout_s(data_centre))
+                timeout.reschedule(now_s + self._interim_timeout_s(data_centre))
                 content = handover_codec.encode_batch(batch)
                 request = client.request_bytes(b"POST", PATH, [(b"host", b"instance")], content)
                 pending.not_run = False
@@ -248,7 +255,7 @@
         if response.status != 200:
             raise handover_codec.MessageError(f"status {response.status}")
         if pending.open_shards:
-            raise handover_codec.MessageError("ended before every shard was told of")
+            raise handover_codec.MessageError("response ended before all shards had an outcome")
 
     def _interim_timeout_s(self, data_centre: str) -> float:
         return (
@@ -278,7 +285,7 @@
         )
 
 
-def _batch(
+def _make_batch(
     call: sending.Call,
     pending: PendingBatch,
     now_s: float,
@@ -333,6 +340,6 @@
     return isinstance(outcome, sending.NotRun) and outcome.reason == replicas_module.NO_REPLICA
 
 
-def _has_few_replicas(sender: sender_module.Sender, call: sending.Call, shard: str) -> bool:
-    """Whether a shard has no more replicas than its route allows to send to."""
+def _may_reach_all_replicas(sender: sender_module.Sender, call: sending.Call, shard: str) -> bool:
+    """Whether the route allows a part to be sent to every replica of its shard."""
     return len(sender.replicas.eligible(shard, call.route)) <= call.route.max_attempts
--- a/src/turmericlug/direct/handover_codec.py
+++ b/src/turmericlug/direct/handover_codec.py
@@ -158,9 +158,10 @@
         )
         return Answer(
             records=message.records,
-            signatures={shards[each.shard]: each.signature for each in message.answered},
+            signatures={shards[signed.shard]: signed.signature for signed in message.answered},
             failures={
-                shards[each.shard]: Failure(each.reason, each.mayHaveRun) for each in message.failed
+                shards[failed.shard]: Failure(failed.reason, failed.mayHaveRun)
+                for failed in message.failed
             },
             spent_ms=message.spentMs,
             first=message.first,
--- a/src/turmericlug/direct/peers.py
+++ b/src/turmericlug/direct/peers.py
@@ -72,7 +72,7 @@
         self._preferred.clear()
 
     def _instance_names(self, data_centre: str) -> list[str]:
-        names = [each.entry.instance for each in self._instances.of(data_centre)]
+        names = [peer.entry.instance for peer in self._instances.of(data_centre)]
         return [*names, self._place.name] if data_centre == self._place.data_centre else names
 
     def owners(self, data_centre: str, shard: str) -> list[str]:
@@ -111,8 +111,10 @@
         instances = sender.instance_count()
         if placement.all_send_directly(instances) or not sender.is_shard(service):
             return budget.slack_share(instances, owners=0, is_owner=False)
-        data_centres = {each.entry.data_centre for each in sender.replicas.of(service)}
-        owners = [name for each in data_centres for name in self.owners(each, service)]
+        data_centres = {replica.entry.data_centre for replica in sender.replicas.of(service)}
+        owners = [
+            name for data_centre in data_centres for name in self.owners(data_centre, service)
+        ]
         return budget.slack_share(instances, len(owners), self._place.name in owners)
 
     def record_round_trip(self, data_centre: str, round_trip_ms: float) -> None:
@@ -123,10 +125,14 @@
         )
 
     def plan(
-        self, sender: sender_module.Sender, call: sending.Call, first: FirstReplicas, now_s: float
+        self,
+        sender: sender_module.Sender,
+        call: sending.Call,
+        first_replicas: FirstReplicas,
+        now_s: float,
     ) -> list[Assignment]:
         """Assign to peers the shards that they should send to instead of this instance."""
-        by_data_centre = self._choose_data_centres(sender, call.route, first, now_s)
+        by_data_centre = self._choose_data_centres(sender, call.route, first_replicas, now_s)
         shards_have_owners = not placement.all_send_directly(sender.instance_count())
         assignments: list[Assignment] = []
         for data_centre, shards in by_data_centre.items():
@@ -145,7 +151,7 @@
         self,
         sender: sender_module.Sender,
         route: routes.Route,
-        first: FirstReplicas,
+        first_replicas: FirstReplicas,
         now_s: float,
     ) -> dict[str, list[str]]:
         """
@@ -156,23 +162,30 @@
         """
         chosen_shards: dict[str, list[str]] = {}
         candidates: dict[str, set[str]] = {}
-        for shard, best in first.items():
+        for shard, best in first_replicas.items():
             distance = self._place.distance(best.entry.data_centre)
             if distance == placement.SAME_DATA_CENTRE:
                 chosen_shards.setdefault(best.entry.data_centre, []).append(shard)
                 continue
             candidates[shard] = {best.entry.data_centre} | {
-                each.entry.data_centre
-                for each in sender.replicas.eligible(shard, route)
-                if self._place.distance(each.entry.data_centre) == distance
-                and not (each.is_set_aside(now_s) or each.has_overdue_attempt(now_s))
+                replica.entry.data_centre
+                for replica in sender.replicas.eligible(shard, route)
+                if self._place.distance(replica.entry.data_centre) == distance
+                and not (replica.is_set_aside(now_s) or replica.has_overdue_attempt(now_s))
             }
         while candidates:
             counts = collections.Counter(
-                each for data_centres in candidates.values() for each in data_centres
+                data_centre for data_centres in candidates.values() for data_centre in data_centres
+            )
+            chosen = min(
+                counts,
+                key=lambda data_centre: (
+                    -counts[data_centre],
+                    self.round_trip_ms(data_centre),
+                    data_centre,
+                ),
             )
-            chosen = min(counts, key=lambda each: (-counts[each], self.round_trip_ms(each), each))
-            shards = [shard for shard, each in candidates.items() if chosen in each]
+            shards = [shard for shard, data_centres in candidates.items() if chosen in data_centres]
             chosen_shards[chosen] = shards
             for shard in shards:
                 del candidates[shard]
@@ -201,10 +214,10 @@
 
         :returns: ``None`` if there is none, or if the best is set aside or has an overdue attempt
         """
-        others = [
-            each for each in self._instances.of(data_centre) if each.entry.instance not in names
+        excluded = [
+            peer for peer in self._instances.of(data_centre) if peer.entry.instance not in names
         ]
-        peer = self._instances.choose(data_centre, route, others, now_s)
+        peer = self._instances.choose(data_centre, route, excluded, now_s)
         if peer is None or peer.is_set_aside(now_s) or peer.has_overdue_attempt(now_s):
             return None
         return peer
@@ -220,8 +233,8 @@
         """
         if shards_have_owners in self._preferred:
             return self._preferred[shards_have_owners]
-        found = self._preferred[shards_have_owners] = []
-        for data_centre in {each.entry.data_centre for each in self._instances.all()}:
+        peers = self._preferred[shards_have_owners] = []
+        for data_centre in {peer.entry.data_centre for peer in self._instances.all()}:
             names = self._instance_names(data_centre)
             if shards_have_owners:
                 preferred = {name for owners in placement.owners_by_group(names) for name in owners}
@@ -229,10 +242,10 @@
                 continue
             else:
                 preferred = set(placement.preferred(self._place.name, names, PEERS_PER_DATA_CENTRE))
-            found += [
-                each for each in self._instances.of(data_centre) if each.entry.instance in preferred
+            peers += [
+                peer for peer in self._instances.of(data_centre) if peer.entry.instance in preferred
             ]
-        return found
+        return peers
 
     async def warm(self, shards_have_owners: bool) -> None:
         """
--- a/src/turmericlug/direct/placement.py
+++ b/src/turmericlug/direct/placement.py
@@ -94,7 +94,7 @@
     return owners_of_groups
 
 
-def common_replica(request: bytes, data_centres: abc.Mapping[str, str], data_centre: str) -> str:
+def common_replica(request_id: bytes, data_centres: abc.Mapping[str, str], data_centre: str) -> str:
     """
     Return the one replica to which any instance may send a part handed to a data centre.
 
@@ -103,11 +103,11 @@
     data centre come first; among several the choice depends on the request, so that they get equal
     shares.
 
-    :param request: the request's identifier
+    :param request_id: the request's identifier
     :param data_centres: the data centre of each replica, by the replica's name
     :param data_centre: the one that the part is handed to
     """
-    salt = zlib.crc32(request)
+    salt = zlib.crc32(request_id)
 
     def rank(name: str) -> tuple[bool, int]:
         hashed = (salt ^ zlib.crc32(name.encode())) * _HASH_MULTIPLIER & 0xFFFFFFFF
--- a/src/turmericlug/direct/pool.py
+++ b/src/turmericlug/direct/pool.py
@@ -1,4 +1,4 @@
-"""Connection pool for one replica: bounded, with reuse, waiters are served by priority."""
+"""Bounded connection pool for one replica, which serves waiters by priority."""
 
 from __future__ import annotations
 
--- a/src/turmericlug/direct/quarantine.py
+++ b/src/turmericlug/direct/quarantine.py
@@ -32,10 +32,10 @@
 
 
 @attrs.frozen
-class _Unresolved:
+class _UnresolvedRequest:
     """A request without a response from a replica, for an unknown reason."""
 
-    request: poison.Fingerprint
+    fingerprint: poison.Fingerprint
     at_s: float
     on_trial: bool
 
@@ -46,20 +46,20 @@
     def __init__(self, counters: counters_module.Counters, now_s: abc.Callable[[], float]) -> None:
         self.table = poison.SuspectTable()
         self.enabled = True
-        self.on_update: abc.Callable[[poison.Fingerprint], None] = lambda request: None
+        self.on_update: abc.Callable[[poison.Fingerprint], None] = lambda fingerprint: None
         """Called with a request whose record other instances must be sent."""
         self._counters = counters
         self._now_s = now_s
         self._in_flight: collections.defaultdict[poison.Fingerprint, set[sending.Call]]
         self._in_flight = collections.defaultdict(set)
         self._probes: dict[str, asyncio.Task[bool]] = {}
-        self._unresolved: dict[str, collections.deque[_Unresolved]] = {}
+        self._unresolved: dict[str, collections.deque[_UnresolvedRequest]] = {}
 
-    def verdict(self, request: poison.Fingerprint) -> poison.Verdict:
+    def verdict(self, fingerprint: poison.Fingerprint) -> poison.Verdict:
         """Return the current verdict on a request."""
         if not (self.enabled and self.table.records):
             return poison.Verdict.ALLOWED
-        return self.table.verdict(request, self._now_s())
+        return self.table.verdict(fingerprint, self._now_s())
 
     def may_send(self, call: sending.Call) -> bool:
         """Whether a request may be sent to another replica now."""
@@ -89,11 +89,11 @@
         if call.is_answered:
             return
         call.is_answered = True
-        request = call.fingerprint
-        if self.table.record_answer(request, self._now_s()):
+        fingerprint = call.fingerprint
+        if self.table.record_answer(fingerprint, self._now_s()):
             self._counters.add("poison.cleared")
-            decisions.log("poison.cleared", request=call.request_id, content=request.hex())
-            self.on_update(request)
+            decisions.log("poison.cleared", request=call.request_id, content=fingerprint.hex())
+            self.on_update(fingerprint)
 
     async def record_outcome(
         self, call: sending.Call, replica: replica_module.Replica, outcome: sending.Outcome
@@ -114,31 +114,31 @@
         elif outcome.connection_lost or outcome.reason == sending.NO_RESPONSE:
             key = _process_key(replica)
             requests = self._unresolved.setdefault(key, collections.deque(maxlen=MAX_UNRESOLVED))
-            requests.append(_Unresolved(call.fingerprint, now_s, call.on_trial))
+            requests.append(_UnresolvedRequest(call.fingerprint, now_s, call.on_trial))
 
     def on_replica_lost(self, replica: replica_module.Replica) -> None:
         """Record that the entry of a replica was lost without notice: it has crashed."""
-        for each in self._unresolved.pop(_process_key(replica), ()):
-            if each.at_s > self._now_s() - UNRESOLVED_TTL_S:
-                self._record_crash(each.request, replica, each.on_trial)
+        for unresolved in self._unresolved.pop(_process_key(replica), ()):
+            if unresolved.at_s > self._now_s() - UNRESOLVED_TTL_S:
+                self._record_crash(unresolved.fingerprint, replica, unresolved.on_trial)
 
-    def merge_report(self, request: poison.Fingerprint, reported: poison.Record) -> bool:
+    def merge_report(self, fingerprint: poison.Fingerprint, reported: poison.Record) -> bool:
         """Merge another instance's record of a request; returns whether that changed anything."""
-        before = self.verdict(request)
-        if not self.table.merge_report(request, reported, self._now_s()):
+        before = self.verdict(fingerprint)
+        if not self.table.merge_report(fingerprint, reported, self._now_s()):
             return False
         self._counters.add("poison.learned")
-        self._apply_verdict(request, before, "learned")
+        self._apply_verdict(fingerprint, before, "learned")
         return True
 
-    def lift(self, request: poison.Fingerprint) -> bool:
+    def lift(self, fingerprint: poison.Fingerprint) -> bool:
         """Allow a request on an operator's command; false if it is allowed already."""
-        if self.verdict(request) is poison.Verdict.ALLOWED:
+        if self.verdict(fingerprint) is poison.Verdict.ALLOWED:
             return False
-        self.on_update(request)
-        self.table.lift(request, self._now_s())
+        self.on_update(fingerprint)
+        self.table.lift(fingerprint, self._now_s())
         self._counters.add("poison.lifted")
-        decisions.log("poison.lifted", content=request.hex())
+        decisions.log("poison.lifted", content=fingerprint.hex())
         return True
 
     def begin_trial(self, call: sending.Call) -> bool:
@@ -163,40 +163,42 @@
             decisions.log("poison.forgotten", requests=expired, left=len(self.table.records))
         old = [
             key
-            for key, each in self._unresolved.items()
-            if each[-1].at_s < now_s - UNRESOLVED_TTL_S
+            for key, requests in self._unresolved.items()
+            if requests[-1].at_s < now_s - UNRESOLVED_TTL_S
         ]
         for key in old:
             del self._unresolved[key]
 
     def _record_crash(
-        self, request: poison.Fingerprint, replica: replica_module.Replica, on_trial: bool
+        self, fingerprint: poison.Fingerprint, replica: replica_module.Replica, on_trial: bool
     ) -> None:
         if not self.enabled:
             return
-        before = self.verdict(request)
-        self.table.record_crash(request, _process_key(replica), self._now_s(), on_trial)
+        before = self.verdict(fingerprint)
+        self.table.record_crash(fingerprint, _process_key(replica), self._now_s(), on_trial)
         self._counters.add("poison.ended")
         decisions.log(
             "poison.ended",
-            content=request.hex(),
+            content=fingerprint.hex(),
             service=replica.entry.service,
             replica=replica.entry.instance,
             on_trial=on_trial,
         )
-        self._apply_verdict(request, before, "seen")
-        self.on_update(request)
+        self._apply_verdict(fingerprint, before, "seen")
+        self.on_update(fingerprint)
 
-    def _apply_verdict(self, request: poison.Fingerprint, before: poison.Verdict, how: str) -> None:
+    def _apply_verdict(
+        self, fingerprint: poison.Fingerprint, before: poison.Verdict, how: str
+    ) -> None:
         """Log a new verdict, and abort the calls in flight of a quarantined request."""
-        verdict = self.verdict(request)
+        verdict = self.verdict(fingerprint)
         if verdict is before:
             return
         self._counters.add(f"poison.verdict.{verdict.value}")
-        record, now_s = self.table.records[request], self._now_s()
+        record, now_s = self.table.records[fingerprint], self._now_s()
         decisions.log(
             f"poison.verdict.{verdict.value}",
-            content=request.hex(),
+            content=fingerprint.hex(),
             how=how,
             ends={
                 name: round(now_s - at_s, 2) for name, at_s in record.recent_crashes(now_s).items()
@@ -204,7 +206,7 @@
         )
         if verdict is poison.Verdict.QUARANTINED:
             # Replicas drop a queued request once its connection is closed.
-            for call in list(self._in_flight.get(request, ())):
+            for call in list(self._in_flight.get(fingerprint, ())):
                 call.abandon()
 
     async def _refuses_connections(self, replica: replica_module.Replica) -> bool:
--- a/src/turmericlug/direct/replicas.py
+++ b/src/turmericlug/direct/replicas.py
@@ -65,7 +65,7 @@
 
 def _is_other_replica(known: routes.ReplicaEntry, entry: routes.ReplicaEntry) -> bool:
     """Whether an entry is from another start than the known one, or from another endpoint."""
-    endpoints = [(each.service, each.host, each.port) for each in (known, entry)]
+    endpoints = [(compared.service, compared.host, compared.port) for compared in (known, entry)]
     return known.born_ms != entry.born_ms or endpoints[0] != endpoints[1]
 
 
@@ -112,7 +112,9 @@
 
     def connections(self) -> dict[str, int]:
         """Count the open connections to the current replicas, and all opened to these so far."""
-        pools = [(each.pool, self.in_own_region(each.entry.data_centre)) for each in self.all()]
+        pools = [
+            (replica.pool, self.in_own_region(replica.entry.data_centre)) for replica in self.all()
+        ]
         return {
             "open": sum(pool.open_count for pool, _ in pools),
             "opened_near": sum(pool.opened for pool, near in pools if near),
@@ -162,7 +164,7 @@
             known.pool.trim()
         return changed
 
-    async def warm(self, now_s: float, wanted: abc.Callable[[str], bool], far: bool) -> None:
+    async def warm(self, now_s: float, sends_to: abc.Callable[[str], bool], far: bool) -> None:
         """
         Open a first connection to each replica that has none.
 
@@ -176,29 +178,29 @@
         in another region.
 
         :param now_s: the current time
-        :param wanted: whether this instance sends to a service's replicas
+        :param sends_to: whether this instance sends to a service's replicas
         :param far: whether to connect to replicas in other regions as well
         """
         unconnected = [
-            each
+            replica
             for service, replicas in self._by_service.items()
-            if wanted(service)
-            for each in self._to_warm(replicas.values(), far)
-            if each.pool.open_count == 0
-            and self._is_eligible(each)
-            and not each.is_set_aside(now_s)
+            if sends_to(service)
+            for replica in self._to_warm(replicas.values(), far)
+            if replica.pool.open_count == 0
+            and self._is_eligible(replica)
+            and not replica.is_set_aside(now_s)
         ]
         await asyncio.gather(
-            *(self._warm(each, now_s) for each in unconnected[:MAX_WARMED_PER_ROUND])
+            *(self._warm(replica, now_s) for replica in unconnected[:MAX_WARMED_PER_ROUND])
         )
 
     def _to_warm(
         self, replicas: abc.Collection[replica_module.Replica], far: bool
     ) -> list[replica_module.Replica]:
-        near = [each for each in replicas if self.in_own_region(each.entry.data_centre)]
+        near = [replica for replica in replicas if self.in_own_region(replica.entry.data_centre)]
         if not (near and far):
             return near
-        return [each for each in replicas if each in near or each.pool.limit() > 1]
+        return [replica for replica in replicas if replica in near or replica.pool.limit() > 1]
 
     async def _warm(self, replica: replica_module.Replica, now_s: float) -> None:
         try:
@@ -230,12 +232,15 @@
     def eligible(self, service: str, route: routes.Route) -> list[replica_module.Replica]:
         """Return the replicas of a service that may get a request of a route, even if set aside."""
         return [
-            each
-            for each in self._by_service.get(service, {}).values()
-            if self._is_eligible(each) and self._place.allows(route.regions, each.entry.data_centre)
+            replica
+            for replica in self._by_service.get(service, {}).values()
+            if self._is_eligible(replica)
+            and self._place.allows(route.regions, replica.entry.data_centre)
         ]
 
-    def common(self, service: str, route: routes.Route, request_id: bytes, data_centre: str) -> str:
+    def common_replica(
+        self, service: str, route: routes.Route, request_id: bytes, data_centre: str
+    ) -> str:
         """
         Return the replica to which any instance of a data centre may send a handed part.
 
@@ -244,21 +249,25 @@
         replicas = self.eligible(service, route)
         if len(replicas) <= route.max_attempts:
             return ""
-        data_centres = {each.entry.instance: each.entry.data_centre for each in replicas}
+        data_centres = {replica.entry.instance: replica.entry.data_centre for replica in replicas}
         return placement.common_replica(request_id, data_centres, data_centre)
 
     def no_replica_reason(self, service: str, route: routes.Route, now_s: float) -> str:
         """Return the reason for which no replica of a service can get a request."""
         known = self._by_service.get(service, {}).values()
         allowed = [
-            each for each in known if self._place.allows(route.regions, each.entry.data_centre)
+            replica
+            for replica in known
+            if self._place.allows(route.regions, replica.entry.data_centre)
         ]
         if known and not allowed:
             return OUT_OF_REGION
-        staying = [each for each in allowed if not each.leaving]
+        staying = [replica for replica in allowed if not replica.leaving]
         if staying and not any(map(self._is_eligible, staying)):
             return EVACUATED
-        if any(not self.cold_limit_allows(each, now_s) for each in self.eligible(service, route)):
+        if any(
+            not self.cold_limit_allows(replica, now_s) for replica in self.eligible(service, route)
+        ):
             return COLD
         return NO_REPLICA
 
@@ -299,8 +308,8 @@
     def set_allowance(self, allowance: budget.Allowance) -> None:
         """Change the allowance of all services' retry budgets."""
         self._allowance = allowance
-        for each in self._budgets.values():
-            each.set_allowance(allowance)
+        for retry_budget in self._budgets.values():
+            retry_budget.set_allowance(allowance)
 
     def retry_budget(self, service: str) -> budget.RetryBudget:
         """Return the retry budget of a service."""
@@ -326,16 +335,16 @@
         :returns: ``None`` if there is no replica to choose
         """
         candidates = [
-            each
-            for each in self.eligible(service, route)
-            if not each.is_misdirected(now_s)
-            and each not in tried
-            and self.cold_limit_allows(each, now_s)
+            replica
+            for replica in self.eligible(service, route)
+            if not replica.is_misdirected(now_s)
+            and replica not in tried
+            and self.cold_limit_allows(replica, now_s)
         ]
-        available = [each for each in candidates if not each.is_set_aside(now_s)]
+        available = [replica for replica in candidates if not replica.is_set_aside(now_s)]
         return min(
             available or candidates,
-            key=lambda each: self.expected_ms(each, route, now_s),
+            key=lambda replica: self.expected_ms(replica, route, now_s),
             default=None,
         )
 
@@ -359,8 +368,8 @@
         """Return the highest median latency among the data centres of a service's replicas."""
         return max(
             (
-                self.latencies(route.name, each.entry.data_centre).median_ms
-                for each in self.eligible(service, route)
+                self.latencies(route.name, replica.entry.data_centre).median_ms
+                for replica in self.eligible(service, route)
             ),
             default=0.0,
         )
--- a/src/turmericlug/direct/routes.py
+++ b/src/turmericlug/direct/routes.py
@@ -33,7 +33,7 @@
     goal_ms: float
     """The latency goal: answers within this time have the most value for callers."""
     priority: int
-    """The most urgent requests have 0."""
+    """0 is the most urgent."""
     max_attempts: int
     """Replicas to which one request may be sent; for a query over shards the limit is per shard."""
     services: tuple[WeightedService, ...] = ()
@@ -55,8 +55,8 @@
         """
         if regions is None:
             return self
-        both = regions if self.regions is None else self.regions & regions
-        return attrs.evolve(self, regions=both)
+        common_regions = regions if self.regions is None else self.regions & regions
+        return attrs.evolve(self, regions=common_regions)
 
 
 @attrs.frozen
@@ -100,8 +100,8 @@
 
         :returns: ``None`` if no route of the host is restricted to regions
         """
-        of_routes = [each.regions for each in self._by_host.get(host.lower(), ())]
-        restricted = [regions for regions in of_routes if regions is not None]
+        route_regions = [route.regions for route in self._by_host.get(host.lower(), ())]
+        restricted = [regions for regions in route_regions if regions is not None]
         return (
             frozenset.intersection(*restricted) or frozenset.union(*restricted)
             if restricted
--- a/src/turmericlug/direct/sender.py
+++ b/src/turmericlug/direct/sender.py
@@ -31,16 +31,16 @@
     counters: counters_module.Counters
     tasks: tasks_module.Tasks
     instance_count: abc.Callable[[], int]
-    """Number of instances that share the budget for hedges and retries."""
+    """Number of instances that share the retry budgets."""
     handover: handover_module.Handover | None = None
-    """Hands parts for distant replicas over to other instances; ``None``: sends all itself."""
+    """Hands parts with remote replicas over to peers; ``None``: all parts are sent directly."""
     rng: random.Random = attrs.field(factory=random.Random)
     is_shard: abc.Callable[[str], bool] = lambda service: False
     """Whether a service is a shard of a route."""
     loop_lag_ms: abc.Callable[[], float | None] = lambda: None
     """Delay of a slow event loop iteration; ``None`` if it is not known yet."""
     quarantine: quarantine_module.Quarantine = attrs.field(
-        default=attrs.Factory(lambda self: _quarantine(self.counters), takes_self=True)
+        default=attrs.Factory(lambda self: _make_quarantine(self.counters), takes_self=True)
     )
     """Stops requests that crash replicas from reaching further ones."""
 
@@ -53,7 +53,7 @@
         return ""
 
     def spend_retry_budget(self, service: str, now_s: float) -> bool:
-        """Spend one of this instance's hedges and retries for a service, if any is left."""
+        """Spend an extra attempt of a service's retry budget; false if none is left."""
         if self.handover is not None:
             share = self.handover.peers.slack_share(self, service)
         else:
@@ -61,5 +61,5 @@
         return self.replicas.retry_budget(service).try_spend(now_s, share)
 
 
-def _quarantine(counters: counters_module.Counters) -> quarantine_module.Quarantine:
+def _make_quarantine(counters: counters_module.Counters) -> quarantine_module.Quarantine:
     return quarantine_module.Quarantine(counters, asyncio.get_running_loop().time)
--- a/src/turmericlug/direct/sending.py
+++ b/src/turmericlug/direct/sending.py
@@ -42,15 +42,16 @@
     """When the caller started the request; its goal counts from this time."""
     deadline_s: float
     """The caller's deadline or the route's timeout, whichever is sooner; event loop time."""
-    sends: set[asyncio.Task[typing.Any]] = attrs.field(factory=set)
+    tasks: set[asyncio.Task[typing.Any]] = attrs.field(factory=set)
+    """Tasks of its attempts and batches in flight."""
     response_latency_s: float = 0.0
     """Latency of a response to the caller."""
     answer_at_s: float | None = None
     """When a query over shards answers with the parts it has."""
-    sends_by_service: dict[str, list[replica_module.Attempt]] = attrs.field(factory=dict)
+    attempts_by_service: dict[str, list[replica_module.Attempt]] = attrs.field(factory=dict)
     """Attempts at each service, in the order of sending."""
     handed_over: dict[str, str] = attrs.field(factory=dict)
-    """The instance that each handed-over shard was last handed over to."""
+    """The instance to which each shard was last handed over."""
     hedges: int = 0
     retries: int = 0
     fingerprint: bytes = b""
@@ -67,7 +68,9 @@
 
     def describe(self, service: str, now_s: float) -> str:
         """Describe the attempts at a service, for the log."""
-        descriptions = [send.describe(now_s) for send in self.sends_by_service.get(service, ())]
+        descriptions = [
+            attempt.describe(now_s) for attempt in self.attempts_by_service.get(service, ())
+        ]
         if service in self.handed_over:
             descriptions.insert(0, f"handed to {self.handed_over[service]}")
         return ", ".join(descriptions) or "not sent"
@@ -76,7 +79,7 @@
         """Whether a replica of a service may have run the request or may still run it."""
         if service in self.handed_over:
             return True
-        return any(send.ran for send in self.sends_by_service.get(service, ()))
+        return any(attempt.ran for attempt in self.attempts_by_service.get(service, ()))
 
     def shorten_timeouts(self, stuck_after_s: float) -> None:
         """
@@ -88,9 +91,9 @@
 
         :param stuck_after_s: age at which an attempt counts as stuck
         """
-        for sends in self.sends_by_service.values():
-            for send in sends:
-                send.end_by(send.began_s + stuck_after_s)
+        for attempts in self.attempts_by_service.values():
+            for attempt in attempts:
+                attempt.end_by(attempt.began_s + stuck_after_s)
 
     def drop_unwritten(self, service: str) -> None:
         """
@@ -99,8 +102,8 @@
         Their result is no longer needed, and writing them could reach more replicas than the route
         allows. A connection that opens later is kept in the pool.
         """
-        for send in self.sends_by_service.get(service, ()):
-            send.unwanted = send.written_s is None
+        for attempt in self.attempts_by_service.get(service, ()):
+            attempt.unwanted = attempt.written_s is None
 
     def abandon(self) -> None:
         """
@@ -109,9 +112,9 @@
         The attempt that calls this is left to finish: cancelling it would lose its outcome.
         """
         current = asyncio.current_task()
-        for send in self.sends:
-            if send is not current:
-                send.cancel()
+        for task in self.tasks:
+            if task is not current:
+                task.cancel()
 
 
 @dataclasses.dataclass(frozen=True)
@@ -242,8 +245,8 @@
     return status in _NOT_RUN_STATUSES
 
 
-def _timeout_outcome(progress: replica_module.Attempt) -> Outcome:
-    if progress.written_s is None:
+def _timeout_outcome(attempt: replica_module.Attempt) -> Outcome:
+    if attempt.written_s is None:
         return NotRun("no_connection_in_time", sent=False)
     return Unknown(NO_RESPONSE)
 
@@ -252,22 +255,22 @@
     call: Call,
     replica: replica_module.Replica,
     names: header_names_module.HeaderNames,
-    progress: replica_module.Attempt,
+    attempt: replica_module.Attempt,
     get_withhold_reason: abc.Callable[[], str],
 ) -> Outcome:
     """
     Attempt a request to a replica and wait for its response.
 
-    :param progress: records when the request is written; can shorten the timeout
+    :param attempt: records when the request is written; can shorten the timeout
     :param get_withhold_reason: called just before the request is written; returns why it must not
         be, or an empty text
     """
     loop = asyncio.get_running_loop()
     try:
-        async with asyncio.timeout_at(call.deadline_s) as progress.timeout:
+        async with asyncio.timeout_at(call.deadline_s) as attempt.timeout:
             fresh = not call.route.idempotent
             async with replica.pool.connection(call.route.priority, fresh) as connection:
-                if progress.unwanted:
+                if attempt.unwanted:
                     return UNWANTED
                 if withhold_reason := get_withhold_reason():
                     return NotRun(withhold_reason, sent=False)
@@ -275,7 +278,7 @@
                 left_ms = int((call.deadline_s - now_s) * 1000)
                 if left_ms < 1:
                     return NotRun("no_time_left", sent=False)
-                progress.written_s = now_s
+                attempt.written_s = now_s
                 response = await connection.exchange(build_request(call, replica, names, left_ms))
                 outcome = classify(response, call, replica, names)
                 if isinstance(outcome, Unknown):
@@ -286,4 +289,4 @@
     except client.ExchangeError as error:
         return Unknown(str(error), isinstance(error, client.ConnectionLostError))
     except TimeoutError:
-        return _timeout_outcome(progress)
+        return _timeout_outcome(attempt)
--- a/src/turmericlug/direct/tracking.py
+++ b/src/turmericlug/direct/tracking.py
@@ -14,22 +14,22 @@
     sender: sender_module.Sender,
     call: sending.Call,
     replica: replica_module.Replica,
-    send: replica_module.Attempt,
+    attempt: replica_module.Attempt,
 ) -> sending.Outcome:
     """Attempt a request to a replica and update the replica's statistics with the outcome."""
     try:
         outcome = await sending.send(
-            call, replica, sender.names, send, lambda: sender.withhold_reason(call, replica)
+            call, replica, sender.names, attempt, lambda: sender.withhold_reason(call, replica)
         )
-        send.ran = not isinstance(outcome, sending.NotRun)
+        attempt.ran = not isinstance(outcome, sending.NotRun)
         if sending.was_withheld(outcome):
             sender.counters.add(f"direct.withheld.{sending.reason(outcome)}")
             return outcome
     except asyncio.CancelledError:
         return sending.ABANDONED
     finally:
-        send.ended_s = asyncio.get_running_loop().time()
-    _record_outcome(sender, call, replica, outcome, send.began_s)
+        attempt.ended_s = asyncio.get_running_loop().time()
+    _record_outcome(sender, call, replica, outcome, attempt.began_s)
     try:
         await sender.quarantine.record_outcome(call, replica, outcome)
     except asyncio.CancelledError:
@@ -50,9 +50,9 @@
     if isinstance(outcome, sending.Answered | sending.Failed):
         sender.quarantine.record_answer(call)
     if isinstance(outcome, sending.Answered):
-        times = sender.replicas.latencies(call.route.name, replica.entry.data_centre)
-        replica.record_success(duration_ms, times.median_ms, now_s)
-        times.add(duration_ms)
+        latencies = sender.replicas.latencies(call.route.name, replica.entry.data_centre)
+        replica.record_success(duration_ms, latencies.median_ms, now_s)
+        latencies.add(duration_ms)
         sender.counters.time_ms("direct.send_ms", duration_ms)
         return
     reason = sending.reason(outcome).partition(":")[0]
--- a/src/turmericlug/direct/trial.py
+++ b/src/turmericlug/direct/trial.py
@@ -37,12 +37,12 @@
     """
     if not await _begin_trial(sender, call):
         return _untried_result(sender, call)
-    shards = [each for each in call.route.shards if sender.replicas.of(each)]
+    shards = [shard for shard in call.route.shards if sender.replicas.of(shard)]
     if not shards:
         sender.quarantine.cancel_trial(call)
         return answering.refusal(sender, sending.CRASHES_REPLICAS)
     route = attrs.evolve(call.route, max_attempts=1)
-    trial_call = attrs.evolve(call, route=route, on_trial=True, sends_by_service={}, sends=set())
+    trial_call = attrs.evolve(call, route=route, on_trial=True, attempts_by_service={}, tasks=set())
     shard = sender.rng.choice(shards)
     try:
         outcome = await attempts.get_answer(sender, trial_call, shard)
--- a/tests/direct/test_answering.py
+++ b/tests/direct/test_answering.py
@@ -112,7 +112,7 @@
         parts["z"] = asyncio.create_task(asyncio.sleep(30))
         await asyncio.wait([parts["x"], parts["y"]])
         parts["z"].cancel()
-        call.sends_by_service["z"] = last
+        call.attempts_by_service["z"] = last
         if handed_over:
             call.handed_over["z"] = "e-2"
         return answering.build_result(sender, call, parts)
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -76,7 +76,7 @@
     mutant.one(
         "hedge-beyond-the-attempts-limit",
         "direct/attempts.py",
-        "        and state.attempts < call.route.max_attempts\n",
+        "        and state.attempt_count < call.route.max_attempts\n",
         "",
         "direct/test_attempts.py::test_hedges_count_towards_the_attempts_of_the_route",
     ),
@@ -147,7 +147,7 @@
     mutant.one(
         "lost-batch-resets-attempts",
         "direct/attempts.py",
-        "        state.attempts = call.route.max_attempts - 1\n",
+        "        state.attempt_count = call.route.max_attempts - 1\n",
         "",
         "direct/test_handover.py::test_attempts_after_a_lost_or_refused_batch",
     ),
@@ -161,7 +161,7 @@
     mutant.one(
         "write-what-is-no-longer-needed",
         "direct/sending.py",
-        "                if progress.unwanted:\n                    return UNWANTED\n",
+        "                if attempt.unwanted:\n                    return UNWANTED\n",
         "",
         "direct/test_answering.py::test_an_attempt_not_yet_written_is_dropped_when_the_query_is_answered",
     ),
@@ -658,8 +658,8 @@
         "direct/attempts.py",
         "    if not is_retry:\n",
         "    others = sender.replicas.eligible(service, call.route)\n"
-        "    rest = [each for each in others if each.entry.instance != state.shared_replica]\n"
-        "    state.forbidden = rest[-1:] if state.shared_replica else []\n"
+        "    rest = [each for each in others if each.entry.instance != state.common_replica]\n"
+        "    state.forbidden = rest[-1:] if state.common_replica else []\n"
         "    if not is_retry:\n",
         "direct/test_handover.py::test_a_late_part_goes_to_the_better_of_the_other_replicas",
     ),
@@ -680,7 +680,7 @@
     mutant.one(
         "hedge-a-completed-attempt",
         "direct/attempts.py",
-        "        and all(each.send.ended_s is None for each in state.pending.values())\n",
+        "        and all(pending.attempt.ended_s is None for pending in state.pending.values())\n",
         "",
         "direct/test_quarantine.py::" "test_a_part_is_not_hedged_while_its_replica_is_probed",
     ),
