--- a/tests/direct/test_answering.py
+++ b/tests/direct/test_answering.py
@@ -149,12 +149,12 @@
 
 def test_a_query_without_enough_replicas_is_refused_before_anything_is_sent():
     async def main():
-        sent = scripted.Scripted(part(1))
-        sender = scripted.make_sender({"x": {"x-0": sent}})
+        replica = scripted.Scripted(part(1))
+        sender = scripted.make_sender({"x": {"x-0": replica}})
         call = scripted.make_call(shards=("x", "y", "z"), min_coverage=0.6, services=())
         result = await answering.query_shards(sender, call)
         assert (result.answer.status, result.reason) == (503, "no_replica")
-        assert not sent.requests
+        assert not replica.requests
 
     asyncio.run(main())
 
@@ -233,9 +233,9 @@
     """
 
     async def main():
-        late = scripted.SlowToConnect(part(2))
+        slow_replica = scripted.SlowToConnect(part(2))
         sender = scripted.make_sender(
-            {"x": {"x-0": scripted.Scripted(part(1))}, "y": {"y-0": late}}
+            {"x": {"x-0": scripted.Scripted(part(1))}, "y": {"y-0": slow_replica}}
         )
         call = scripted.make_call(
             services=(), shards=("x", "y"), top_records=1, min_coverage=0.5, deadline_ms=3000.0
@@ -243,6 +243,6 @@
         result = await answering.query_shards(sender, call)
         await sender.tasks.finish()
         (replica,) = sender.replicas.of("y")
-        return result.outcome, len(late.requests), replica.failures, replica.pool.open_count
+        return result.outcome, len(slow_replica.requests), replica.failures, replica.pool.open_count
 
     assert asyncio.run(main()) == ("partial", 0, 0, 1)
--- a/tests/direct/test_attempts.py
+++ b/tests/direct/test_attempts.py
@@ -269,21 +269,21 @@
 )
 def test_a_misdirected_replica_gets_no_more_requests(age_s, sent):
     """
-    Guards against repeated misdirected requests. A replica ends while the store is unavailable, and
-    a replica of another service takes over its address. No instance learns of this from the store,
-    so all keep sending there: each request is rejected, uses up an attempt and adds load to a
-    service that it is not meant for.
+    Guards against repeated misdirected requests. A replica stops while the store is unavailable,
+    and a replica of another service takes over its address. No instance learns of this from the
+    store, so all keep sending there: each request is rejected, uses up an attempt and adds load to
+    a service that it is not meant for.
     """
 
     async def main():
-        ended = scripted.Scripted(MISDIRECTED)
-        sender = scripted.make_sender({"s": {"a": ended}})
+        replica_gone = scripted.Scripted(MISDIRECTED)
+        sender = scripted.make_sender({"s": {"a": replica_gone}})
         first = await attempts.get_answer(sender, scripted.make_call(), "s")
         (replica,) = sender.replicas.all()
         replica.misdirected_until_s -= age_s
         second = await attempts.get_answer(sender, scripted.make_call(), "s")
         await sender.tasks.close()
-        return first, second, len(ended.requests)
+        return first, second, len(replica_gone.requests)
 
     first, second, requests = asyncio.run(main())
     assert first == sending.NotRun("misdirected", sent=True)
--- a/tests/direct/test_budget.py
+++ b/tests/direct/test_budget.py
@@ -16,10 +16,10 @@
     [(0, 1, 40), (100, 1, 56), (0, 10, 4), (100, 10, 20)],
 )
 def test_extra_attempts_in_one_window(requests, instances, allowed):
-    retries = budget.RetryBudget(ALLOWANCE)
+    retry_budget = budget.RetryBudget(ALLOWANCE)
     for _ in range(requests):
-        retries.count_request(100.0)
-    spent = sum(retries.try_spend(100.0, 1 / instances) for _ in range(200))
+        retry_budget.count_request(100.0)
+    spent = sum(retry_budget.try_spend(100.0, 1 / instances) for _ in range(200))
     assert spent == allowed
 
 
@@ -40,13 +40,13 @@
     now_s, requests, extras = 1000.0, [], []
     for wanted, pause_s in steps:
         now_s += pause_s
-        for retries in budgets:
-            retries.count_request(now_s)
+        for retry_budget in budgets:
+            retry_budget.count_request(now_s)
             requests.append(now_s)
-            extras += [now_s for _ in range(wanted) if retries.try_spend(now_s, 1 / instances)]
+            extras += [now_s for _ in range(wanted) if retry_budget.try_spend(now_s, 1 / instances)]
     for end_s in extras:
-        in_window = sum(end_s - 10.0 < each <= end_s for each in extras)
-        requests_in_window = sum(end_s - 10.5 < each <= end_s for each in requests)
+        in_window = sum(end_s - 10.0 < extra_s <= end_s for extra_s in extras)
+        requests_in_window = sum(end_s - 10.5 < request_s <= end_s for request_s in requests)
         assert in_window <= ALLOWANCE.ratio * requests_in_window + ALLOWANCE.slack
 
 
@@ -70,10 +70,10 @@
     now_s, extras = 1000.0, []
     for wanted, pause_s in steps:
         now_s += pause_s
-        for each, share in zip(budgets, shares, strict=True):
-            extras += [now_s for _ in range(wanted) if each.try_spend(now_s, share)]
+        for retry_budget, share in zip(budgets, shares, strict=True):
+            extras += [now_s for _ in range(wanted) if retry_budget.try_spend(now_s, share)]
     for end_s in extras:
-        assert sum(end_s - 10.0 < each <= end_s for each in extras) <= allowance.slack
+        assert sum(end_s - 10.0 < extra_s <= end_s for extra_s in extras) <= allowance.slack
 
 
 def test_an_owner_among_many_instances_may_retry_all_failed_parts():
@@ -105,7 +105,7 @@
     ],
 )
 def test_a_changed_allowance_counts_attempts_already_made(ratio, slack, more):
-    retries = budget.RetryBudget(ALLOWANCE)
-    assert sum(retries.try_spend(100.0, 1) for _ in range(200)) == 40
-    retries.set_allowance(budget.Allowance(ratio, slack, 10.0))
-    assert sum(retries.try_spend(100.0, 1) for _ in range(200)) == more
+    retry_budget = budget.RetryBudget(ALLOWANCE)
+    assert sum(retry_budget.try_spend(100.0, 1) for _ in range(200)) == 40
+    retry_budget.set_allowance(budget.Allowance(ratio, slack, 10.0))
+    assert sum(retry_budget.try_spend(100.0, 1) for _ in range(200)) == more
--- a/tests/direct/test_content.py
+++ b/tests/direct/test_content.py
@@ -18,7 +18,7 @@
 }
 
 
-def of(**changes):
+def fingerprint_of(**changes):
     return content.fingerprint(**(BASE | changes), names=NAMES)
 
 
@@ -39,5 +39,5 @@
 )
 def test_fingerprint_is_that_of_the_request_and_its_organisation(changes, same):
     """Request identifiers change with each attempt; the organisation is part of the identity."""
-    assert (of(**changes) == of()) is same
-    assert len(of(**changes)) == fingerprint.LENGTH_BYTES
+    assert (fingerprint_of(**changes) == fingerprint_of()) is same
+    assert len(fingerprint_of(**changes)) == fingerprint.LENGTH_BYTES
--- a/tests/direct/test_handover.py
+++ b/tests/direct/test_handover.py
@@ -19,7 +19,7 @@
 
 
 def run_query(handler, min_coverage=1.0, **options):
-    """Query at an instance with a peer; return the result, direct requests by replica, counters."""
+    """Query an instance with a peer; return the result, direct requests by replica and counters."""
 
     async def main():
         replicas = handing.scripts()
@@ -30,8 +30,8 @@
             await sender.tasks.close()
         sent = {
             name: len(script.requests)
-            for each in replicas.values()
-            for name, script in each.items()
+            for scripts in replicas.values()
+            for name, script in scripts.items()
         }
         return result, sent, sender.counters.totals
 
@@ -114,7 +114,7 @@
     assert sent["far-1"] == 1
 
 
-def _shards(names):
+def _scripted_shards(names):
     return {
         shard: {f"{name}{shard}": scripted.Scripted(handing.part(120)) for name in names}
         for shard in ("x", "y")
@@ -138,8 +138,8 @@
     """
     An owner of forty shards does not answer. Direct attempts all need new connections:
     an instance with half a core opened sixty at once, none in time, and the query failed. The other
-    owner of the shards has open connections. It sends a part that the first owner may have sent
-    only to the same replica.
+    owner of the shards has open connections. A part that the first owner may have sent goes only to
+    the same replica.
     """
     # All instances run in this process. If it stalls for 100 ms, the batch at the other owner
     # counts as lost as well.
@@ -147,7 +147,7 @@
 
     async def main():
         names = ["far-", "further-", "other-"][:replicas]
-        own_replicas, peer_replicas = _shards(names), _shards(names)
+        own_replicas, peer_replicas = _scripted_shards(names), _scripted_shards(names)
         sender = handing.make_sender(own_replicas)
         sender.instance_count = lambda: 74
         async with handing.peer(
@@ -156,10 +156,10 @@
             call = handing.query_call(shards=("x", "y"), min_coverage=1.0, deadline_ms=5000.0)
             result = await answering.query_shards(sender, call)
             await sender.tasks.close()
-        directly = sum(
-            len(each.requests) for shard in own_replicas.values() for each in shard.values()
+        direct_requests = sum(
+            len(script.requests) for shard in own_replicas.values() for script in shard.values()
         )
-        return result.outcome, directly, "handover.moved" in sender.counters.totals
+        return result.outcome, direct_requests, "handover.moved" in sender.counters.totals
 
     outcome = "answered" if moved else "failed"
     assert asyncio.run(main()) == (outcome, 0, moved)
@@ -176,7 +176,7 @@
     Its "no replica" was taken as final, and the query failed although the instance that handed the
     batch over knew the replicas.
     """
-    own_replicas, peer_replicas = _shards(["far-1"]), _shards(["far-2"])
+    own_replicas, peer_replicas = _scripted_shards(["far-1"]), _scripted_shards(["far-2"])
     known_replicas = {shard: peer_replicas[shard] for shard in known}
 
     async def main():
@@ -189,7 +189,7 @@
 
     assert asyncio.run(main()) == ("answered", lost)
     assert (
-        sum(len(each.requests) for shard in own_replicas.values() for each in shard.values())
+        sum(len(script.requests) for shard in own_replicas.values() for script in shard.values())
         == directly
     )
 
@@ -226,9 +226,9 @@
         body = handover_codec.encode_batch(batch)
         request = messages.Request(b"POST", handover.PATH, (), body, now_s)
         answer = await batches.handler(sender)(request)
-        chunks = [handover_codec.decode_answer(each, ("x",)) async for each in answer.chunks]
+        chunks = [handover_codec.decode_answer(chunk, ("x",)) async for chunk in answer.chunks]
         assert chunks[0].failures["x"].may_have_run
-        return [name for name, each in replicas.items() for _ in each.requests]
+        return [name for name, script in replicas.items() for _ in script.requests]
 
     async def main():
         return await run(ejected=1, again=False), await run(ejected=0, again=True)
@@ -255,8 +255,10 @@
         sender = handing.make_sender({"x": replicas})
         now_s = asyncio.get_running_loop().time()
         relative_latencies = (0.01, 9.0, 1.5)
-        for replica, pace in zip(sender.replicas.of("x"), relative_latencies, strict=True):
-            replica.relative_latency, replica.relative_latency_at_s = pace, now_s
+        for replica, relative_latency in zip(
+            sender.replicas.of("x"), relative_latencies, strict=True
+        ):
+            replica.relative_latency, replica.relative_latency_at_s = relative_latency, now_s
         batch = attrs.evolve(handing.BATCH, shards=("x",), maybe_sent_before=False)
         body = handover_codec.encode_batch(batch)
         request = messages.Request(b"POST", handover.PATH, (), body, now_s)
@@ -264,7 +266,7 @@
         async for _ in answer.chunks:
             pass
         await sender.tasks.close()
-        return [len(each.requests) for each in replicas.values()]
+        return [len(script.requests) for script in replicas.values()]
 
     assert asyncio.run(main()) == [1, 0, 1]
 
@@ -363,13 +365,13 @@
 
     async def main():
         peer_replicas = handing.scripts()
-        handle = batches.handler(handing.make_sender(peer_replicas))
+        handler = batches.handler(handing.make_sender(peer_replicas))
         body = handover_codec.encode_batch(handing.BATCH)
         request = messages.Request(b"POST", handover.PATH, (), body, 0.0, stalled_s=0.2)
-        answer = await handle(request)
+        answer = await handler(request)
         assert answer.status == handover.REFUSED_STATUS
         assert not any(
-            each.requests for service in peer_replicas.values() for each in service.values()
+            script.requests for service in peer_replicas.values() for script in service.values()
         )
 
     asyncio.run(main())
@@ -393,7 +395,7 @@
 
     async def main():
         names = [f"far-{number}" for number in range(replicas)]
-        scripts = _shards(names)
+        scripts = _scripted_shards(names)
         sender = handing.make_sender(scripts)
         async with handing.peer(dying) as sender.handover:
             call = handing.query_call(shards=("x", "y"), min_coverage=1.0, deadline_ms=500.0)
--- a/tests/direct/test_merge.py
+++ b/tests/direct/test_merge.py
@@ -34,6 +34,6 @@
     strategies.integers(1, 20),
 )
 def test_greatest_records_are_the_first_of_all_records_sorted(parts, count):
-    found = merge.greatest_records([b"".join(part) for part in parts], count)
-    everything = sorted((each for part in parts for each in part), reverse=True)
-    assert found == b"".join(everything[:count])
+    records = merge.greatest_records([b"".join(part) for part in parts], count)
+    all_records = sorted((value for part in parts for value in part), reverse=True)
+    assert records == b"".join(all_records[:count])
--- a/tests/direct/test_peers.py
+++ b/tests/direct/test_peers.py
@@ -16,7 +16,7 @@
 from turmericlug.direct import routes
 
 
-class NoPool:
+class IdlePool:
     waiting = 0
     has_idle = True
 
@@ -41,13 +41,13 @@
 def test_plan(names, batches):
     async def main():
         sender = handing.make_sender(
-            {service: {name: scripted.Scripted(handing.part(1)) for name in each}
-             for service, each in names.items()}
+            {service: {name: scripted.Scripted(handing.part(1)) for name in instances}
+             for service, instances in names.items()}
         )  # fmt: skip
-        async with handing.peer(handing.silent) as towards:
+        async with handing.peer(handing.silent) as peer_handover:
             now_s = asyncio.get_running_loop().time()
             call = handing.query_call()
-            assignments = towards.peers.plan(
+            assignments = peer_handover.peers.plan(
                 sender, call, answering.choose_first_replicas(sender, call), now_s
             )
             assert [assignment.shards for assignment in assignments] == batches
@@ -57,24 +57,24 @@
 
 def test_connections_to_preferred_peers_are_prewarmed():
     async def main():
-        async with handing.peer(handing.silent) as towards:
-            await towards.peers.warm(shards_have_owners=False)
-            (preferred,) = towards.peers.preferred_peers(shards_have_owners=False)
+        async with handing.peer(handing.silent) as peer_handover:
+            await peer_handover.peers.warm(shards_have_owners=False)
+            (preferred,) = peer_handover.peers.preferred_peers(shards_have_owners=False)
             assert preferred.pool.open_count == 1
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize(
-    ("instances", "shards_have_owners", "least", "most"),
+    ("instances", "shards_have_owners", "min_peers", "max_peers"),
     [(4, False, 4, 4), (30, False, 4, 4), (24, True, 8, 8), (3, True, 3, 3)],
 )
-def test_number_of_preferred_peers(instances, shards_have_owners, least, most):
+def test_number_of_preferred_peers(instances, shards_have_owners, min_peers, max_peers):
     peers = replicas_module.Replicas(lambda entry: None, handing.PLACE, budget.Allowance())
     for number in range(instances):
         peers.put(routes.ReplicaEntry(f"e{number}", "far", "h", 1, "far", 1, False, 0))
     preferred = peers_module.Peers(peers, handing.PLACE).preferred_peers(shards_have_owners)
-    assert least <= len(preferred) <= most
+    assert min_peers <= len(preferred) <= max_peers
 
 
 def test_with_many_instances_parts_are_handed_to_the_owners():
@@ -89,19 +89,23 @@
         scripts = {shard: {f"far-{shard}": scripted.Scripted(handing.part(1))} for shard in shards}
         sender = handing.make_sender(scripts)
         sender.instance_count = lambda: 74
-        peers = replicas_module.Replicas(lambda entry: NoPool(), handing.PLACE, budget.Allowance())
+        peers = replicas_module.Replicas(
+            lambda entry: IdlePool(), handing.PLACE, budget.Allowance()
+        )
         for number in range(12):
             peers.put(routes.ReplicaEntry(f"e{number}", "far", "h", 1, "far", 1, False, 0))
-        towards = handover.Handover(peers_module.Peers(peers, handing.PLACE))
+        peer_handover = handover.Handover(peers_module.Peers(peers, handing.PLACE))
         call = handing.query_call(shards=tuple(shards))
         now_s = asyncio.get_running_loop().time()
-        assignments = towards.peers.plan(
+        assignments = peer_handover.peers.plan(
             sender, call, answering.choose_first_replicas(sender, call), now_s
         )
-        assert sorted(shard for each in assignments for shard in each.shards) == sorted(shards)
-        for each in assignments:
-            for shard in each.shards:
-                assert each.peer.entry.instance in towards.peers.owners("far", shard)
+        assert sorted(shard for assignment in assignments for shard in assignment.shards) == sorted(
+            shards
+        )
+        for assignment in assignments:
+            for shard in assignment.shards:
+                assert assignment.peer.entry.instance in peer_handover.peers.owners("far", shard)
         assert 2 <= len(assignments) <= 4
 
     asyncio.run(main())
--- a/tests/direct/test_placement.py
+++ b/tests/direct/test_placement.py
@@ -47,7 +47,7 @@
     for lost in names:
         after = placement.owners_by_group([name for name in names if name != lost])
         assert len(after) == len(before)
-        assert sum(not set(a) & set(b) for a, b in zip(before, after, strict=True)) <= 1
+        assert sum(not set(old) & set(new) for old, new in zip(before, after, strict=True)) <= 1
 
 
 def test_common_replica():
@@ -56,10 +56,12 @@
     same result. Among several replicas the choice varies by request, so that they get equal shares.
     """
     data_centres = {"a": "here", "b": "there", "c": "elsewhere"}
-    ids = [b"q%d" % each for each in range(60)]
-    assert {placement.common_replica(each, data_centres, "here") for each in ids} == {"a"}
+    ids = [b"q%d" % number for number in range(60)]
+    assert {placement.common_replica(request_id, data_centres, "here") for request_id in ids} == {
+        "a"
+    }
     del data_centres["a"]
-    chosen = [placement.common_replica(each, data_centres, "here") for each in ids]
+    chosen = [placement.common_replica(request_id, data_centres, "here") for request_id in ids]
     assert 20 < chosen.count("b") < 40
     reordered = dict(reversed(data_centres.items()))
-    assert [placement.common_replica(each, reordered, "here") for each in ids] == chosen
+    assert [placement.common_replica(request_id, reordered, "here") for request_id in ids] == chosen
--- a/tests/direct/test_pool.py
+++ b/tests/direct/test_pool.py
@@ -66,8 +66,8 @@
 
     async def main():
         clock, keep_alive = Clock(), pool_module.KeepAliveTimeout()
-        for each in keep_alive_s:
-            await exchange(make_pool(clock, keep_alive), each)
+        for advertised_s in keep_alive_s:
+            await exchange(make_pool(clock, keep_alive), advertised_s)
         pool = make_pool(clock, keep_alive)
         await pool.warm()
         clock.now_s += idle_s
--- a/tests/direct/test_quarantine.py
+++ b/tests/direct/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Crashes of replicas that have a request, and the sends that are withheld afterwards."""
+"""Crashes of replicas that have a request, which is then withheld from other replicas."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 CLOSED = client.ConnectionLostError("connection closed")
 GOOD = scripted.response(body=bytes(16))
 SHARDS = [f"s{number}" for number in range(6)]
-Q = b"fingerprint"
+FINGERPRINT = b"fingerprint"
 
 
 def run_scenario(scripts, scenario, **changes):
@@ -35,11 +35,11 @@
         sender = scripted.make_sender(scripts)
         sender.replicas.on_lost = sender.quarantine.on_replica_lost
         call = scripted.make_call(**changes)
-        call.fingerprint = Q
+        call.fingerprint = FINGERPRINT
         async with asyncio.timeout(10):
-            found = await scenario(sender, call)
+            result = await scenario(sender, call)
         await sender.tasks.close()
-        return found
+        return result
 
     return asyncio.run(main())
 
@@ -48,9 +48,11 @@
     return {"s": {"a": first, "b": second}}
 
 
-def query(make):
+def query(make_replica):
     """Return six shards of two replicas each, and the arguments of a query over them."""
-    scripts = {shard: {f"{shard}-{number}": make() for number in (0, 1)} for shard in SHARDS}
+    scripts = {
+        shard: {f"{shard}-{number}": make_replica() for number in (0, 1)} for shard in SHARDS
+    }
     return scripts, {
         "shards": tuple(SHARDS),
         "services": (),
@@ -61,7 +63,9 @@
 
 
 def count_requests(scripts):
-    return sum(len(each.requests) for replicas in scripts.values() for each in replicas.values())
+    return sum(
+        len(script.requests) for replicas in scripts.values() for script in replicas.values()
+    )
 
 
 @pytest.mark.parametrize(
@@ -97,13 +101,13 @@
         if removed:
             sender.replicas.put(scripted.entry("a", "s", draining=draining))
             sender.replicas.remove("a")
-        record = sender.quarantine.table.records.get(Q)
+        record = sender.quarantine.table.records.get(FINGERPRINT)
         return len(record.crashes) if record else 0
 
     replica.script = list(replica.script)
     replica.requests.clear()
-    found = run_scenario({"s": {"a": replica}}, scenario, max_attempts=1)
-    assert found == crashes
+    crash_count = run_scenario({"s": {"a": replica}}, scenario, max_attempts=1)
+    assert crash_count == crashes
 
 
 def test_a_replica_that_restarts_under_its_name_has_crashed():
@@ -111,7 +115,7 @@
         sender.replicas.put(scripted.entry("a", "s", born_ms=1))
         await attempts.get_answer(sender, call, "s")
         sender.replicas.put(scripted.entry("a", "s", born_ms=2))
-        return list(sender.quarantine.table.records[Q].crashes)
+        return list(sender.quarantine.table.records[FINGERPRINT].crashes)
 
     assert run_scenario({"s": {"a": scripted.Ending(takes_connections=True)}}, scenario) == ["a@1"]
 
@@ -122,12 +126,12 @@
     async def scenario(sender, call):
         await attempts.get_answer(sender, call, "s")
         sender.replicas.remove("a")
-        return len(sender.quarantine.table.records[Q].crashes)
+        return len(sender.quarantine.table.records[FINGERPRINT].crashes)
 
-    found = run_scenario(
+    crash_count = run_scenario(
         {"s": {"a": scripted.Scripted(30.0)}}, scenario, max_attempts=1, deadline_ms=50.0
     )
-    assert found == 1
+    assert crash_count == 1
 
 
 def test_a_query_that_crashes_replicas_is_not_retried_at_all_shards():
@@ -141,8 +145,8 @@
     async def scenario(sender, call):
         return await answering.query_shards(sender, call)
 
-    ending = run_scenario(scripts, scenario, **changes)
-    assert (ending.outcome, ending.answer.status) == ("failed", 502)
+    result = run_scenario(scripts, scenario, **changes)
+    assert (result.outcome, result.answer.status) == ("failed", 502)
     assert count_requests(scripts) <= len(SHARDS) + poison.CRASHES_TO_SUSPECT - 1
 
 
@@ -152,15 +156,15 @@
 
 def stall_at(sender, part):
     """Block the event loop once, while a part of a query starts."""
-    begin, begun = sender.replicas.retry_budget, []
+    retry_budget, services = sender.replicas.retry_budget, []
 
-    def extra_sends(service):
-        begun.append(service)
-        if len(begun) == part:
+    def stalling_retry_budget(service):
+        services.append(service)
+        if len(services) == part:
             time.sleep(STALL_S)
-        return begin(service)
+        return retry_budget(service)
 
-    sender.replicas.retry_budget = extra_sends
+    sender.replicas.retry_budget = stalling_retry_budget
 
 
 @pytest.mark.parametrize("part", range(1, len(SHARDS) + 1))
@@ -172,8 +176,8 @@
         stall_at(sender, part)
         return await answering.query_shards(sender, call)
 
-    ending = run_scenario(scripts, scenario, **changes)
-    assert ending.outcome == "failed"
+    result = run_scenario(scripts, scenario, **changes)
+    assert result.outcome == "failed"
     assert count_requests(scripts) <= len(SHARDS) + poison.CRASHES_TO_SUSPECT - 1
 
 
@@ -216,7 +220,7 @@
 
 def test_a_stall_of_this_process_causes_no_hedge(monkeypatch):
     """
-    All parts were hedged whose responses arrived while the process was stalled: the event loop in
+    All parts whose responses arrived while the process was stalled were hedged: the event loop in
     production runs timers before it reads.
     """
     monkeypatch.setattr(asyncio.events, "new_event_loop", uvloop.new_event_loop)
@@ -232,15 +236,15 @@
 
 def stall_often(sender, rng):
     """Block the event loop up to seven times, while parts of a query start and in between."""
-    begin, begun = sender.replicas.retry_budget, itertools.count(1)
-    stalled = set(rng.sample(range(1, 2 * len(SHARDS) + 1), rng.randint(1, 3)))
+    retry_budget, call_numbers = sender.replicas.retry_budget, itertools.count(1)
+    stalled_calls = set(rng.sample(range(1, 2 * len(SHARDS) + 1), rng.randint(1, 3)))
 
-    def extra_sends(service):
-        if next(begun) in stalled:
+    def stalling_retry_budget(service):
+        if next(call_numbers) in stalled_calls:
             time.sleep(rng.uniform(0.02, 0.2))
-        return begin(service)
+        return retry_budget(service)
 
-    sender.replicas.retry_budget = extra_sends
+    sender.replicas.retry_budget = stalling_retry_budget
     for _ in range(4):
         loop = asyncio.get_running_loop()
         loop.call_later(rng.uniform(0.0, 0.2), time.sleep, rng.uniform(0.01, 0.13))
@@ -293,18 +297,18 @@
     async def scenario(sender, call):
         return await answering.query_shards(sender, call)
 
-    ending = run_scenario(scripts, scenario, **changes)
-    assert (ending.outcome, ending.answer.status) == ("answered", 200)
+    result = run_scenario(scripts, scenario, **changes)
+    assert (result.outcome, result.answer.status) == ("answered", 200)
 
 
 def make_suspected(sender):
     for number in range(poison.CRASHES_TO_SUSPECT):
         now_s = asyncio.get_running_loop().time()
-        sender.quarantine.table.record_crash(Q, f"r{number}", now_s, on_trial=False)
+        sender.quarantine.table.record_crash(FINGERPRINT, f"r{number}", now_s, on_trial=False)
 
 
 @pytest.mark.parametrize(
-    ("make", "outcome", "status", "sent", "verdict"),
+    ("make_replica", "outcome", "status", "sent", "verdict"),
     [
         pytest.param(
             lambda: scripted.Scripted(GOOD), None, None, 1, poison.Verdict.ALLOWED, id="harmless"
@@ -330,20 +334,20 @@
         ),
     ],
 )
-def test_a_suspected_query_is_sent_to_one_replica(make, outcome, status, sent, verdict):
+def test_a_suspected_query_is_sent_to_one_replica(make_replica, outcome, status, sent, verdict):
     """
     Two callers repeat queries that were in flight when replicas crashed. One of the queries is the
     cause, and its trial costs one replica; the other is answered and proceeds as usual.
     """
-    scripts, changes = query(make)
+    scripts, changes = query(make_replica)
 
     async def scenario(sender, call):
         make_suspected(sender)
-        return await trial.try_query(sender, call), sender.quarantine.verdict(Q)
+        return await trial.try_query(sender, call), sender.quarantine.verdict(FINGERPRINT)
 
-    ending, found = run_scenario(scripts, scenario, **changes)
-    assert found is verdict
-    assert (ending and ending.outcome, ending and ending.answer.status) == (outcome, status)
+    result, actual_verdict = run_scenario(scripts, scenario, **changes)
+    assert actual_verdict is verdict
+    assert (result and result.outcome, result and result.answer.status) == (outcome, status)
     if sent is not None:
         assert count_requests(scripts) == sent
 
@@ -364,8 +368,8 @@
         make_suspected(sender)
         return await trial.try_request(sender, call, "s")
 
-    ending = run_scenario(scripts, scenario)
-    assert (ending.outcome, ending.answer.status) == (outcome, status)
+    result = run_scenario(scripts, scenario)
+    assert (result.outcome, result.answer.status) == (outcome, status)
 
 
 def test_an_attempt_during_a_trial_waits_for_its_outcome():
@@ -375,7 +379,7 @@
     async def scenario(sender, call):
         make_suspected(sender)
         other = scripted.make_call(**changes)
-        other.fingerprint = Q
+        other.fingerprint = FINGERPRINT
         return await asyncio.gather(trial.try_query(sender, call), trial.try_query(sender, other))
 
     assert run_scenario(scripts, scenario, **changes) == [None, None]
@@ -391,17 +395,17 @@
         sender.quarantine.enabled = enabled
         make_suspected(sender)
         sender.quarantine.table.record_crash(
-            Q, "t", asyncio.get_running_loop().time(), on_trial=True
+            FINGERPRINT, "t", asyncio.get_running_loop().time(), on_trial=True
         )
         return await trial.try_query(sender, call)
 
-    ending = run_scenario(scripts, scenario, **changes)
+    result = run_scenario(scripts, scenario, **changes)
     assert count_requests(scripts) == 0
     if not enabled:
-        assert ending is None
+        assert result is None
         return
-    assert (ending.outcome, ending.answer.status, ending.answer.headers) == ("failed", 500, ())
-    assert not sending.guarantees_not_run(ending.answer.status)
+    assert (result.outcome, result.answer.status, result.answer.headers) == ("failed", 500, ())
+    assert not sending.guarantees_not_run(result.answer.status)
 
 
 def test_calls_in_flight_of_a_quarantined_request_are_aborted():
@@ -417,16 +421,18 @@
             {f"r{n}": now_s for n in range(4)}, quarantined_s=now_s, quarantines=1
         )
         with sender.quarantine.in_flight(call):
-            work = asyncio.create_task(answering.query_shards(sender, call))
+            task = asyncio.create_task(answering.query_shards(sender, call))
             await asyncio.sleep(0.05)
-            assert sender.quarantine.merge_report(Q, reported)
-            ending = await work
-        return ending, asyncio.get_running_loop().time() - now_s
-
-    ending, took_s = run_scenario(scripts, scenario, **changes)
-    assert (ending.outcome, ending.answer.status) == ("failed", 502)
-    assert took_s < 1.0
-    assert sum(each.cancelled for group in scripts.values() for each in group.values()) == 6
+            assert sender.quarantine.merge_report(FINGERPRINT, reported)
+            result = await task
+        return result, asyncio.get_running_loop().time() - now_s
+
+    result, duration_s = run_scenario(scripts, scenario, **changes)
+    assert (result.outcome, result.answer.status) == ("failed", 502)
+    assert duration_s < 1.0
+    assert (
+        sum(script.cancelled for replicas in scripts.values() for script in replicas.values()) == 6
+    )
 
 
 def test_unresolved_requests_are_bounded_and_expire():
@@ -437,10 +443,10 @@
             await sender.quarantine.record_outcome(
                 call, replica, sending.Unknown(sending.NO_RESPONSE)
             )
-        kept = sum(len(each) for each in sender.quarantine._unresolved.values())
+        kept = sum(len(requests) for requests in sender.quarantine._unresolved.values())
         sender.quarantine._now_s = lambda: 1e9
         sender.quarantine.expire()
         return kept, len(sender.quarantine._unresolved)
 
-    found = run_scenario({"s": {"a": scripted.Scripted(GOOD)}}, scenario)
-    assert found == (quarantine.MAX_UNRESOLVED, 0)
+    counts = run_scenario({"s": {"a": scripted.Scripted(GOOD)}}, scenario)
+    assert counts == (quarantine.MAX_UNRESOLVED, 0)
--- a/tests/direct/test_regions.py
+++ b/tests/direct/test_regions.py
@@ -23,7 +23,7 @@
 GOOD = scripted.response(body=bytes(16))
 FAILURE = scripted.response(500)
 HERE, THERE = frozenset({"here"}), frozenset({"there"})
-FAR_AND_NEAR = ("near-1", "far-1", "further-1")
+REPLICA_NAMES = ("near-1", "far-1", "further-1")
 
 
 def run_scenario(scripts, scenario, **changes):
@@ -40,11 +40,11 @@
     return asyncio.run(main())
 
 
-def scripted_replicas(*steps, names=FAR_AND_NEAR):
+def scripted_replicas(*steps, names=REPLICA_NAMES):
     return {name: scripted.Scripted(*steps) for name in names}
 
 
-def names_reached(replicas):
+def reached_replicas(replicas):
     return {name for name, replica in replicas.items() if replica.requests}
 
 
@@ -67,13 +67,13 @@
     async def scenario(sender, call):
         return await answering.request_service(sender, call, "s")
 
-    ending = run_scenario({"s": replicas}, scenario, regions=regions, deadline_ms=800.0, **changes)
-    allowed = {name for name in FAR_AND_NEAR if handing.REGIONS[name.partition("-")[0]] in regions}
-    assert names_reached(replicas) <= allowed
+    result = run_scenario({"s": replicas}, scenario, regions=regions, deadline_ms=800.0, **changes)
+    allowed = {name for name in REPLICA_NAMES if handing.REGIONS[name.partition("-")[0]] in regions}
+    assert reached_replicas(replicas) <= allowed
     if not allowed:
-        assert (ending.outcome, ending.reason) == ("refused", replicas_module.OUT_OF_REGION)
-        assert ending.answer.status == 503
-        assert float(dict(ending.answer.headers)[b"retry-after"]) > 0
+        assert (result.outcome, result.reason) == ("refused", replicas_module.OUT_OF_REGION)
+        assert result.answer.status == 503
+        assert float(dict(result.answer.headers)[b"retry-after"]) > 0
 
 
 def test_a_suspected_request_is_tried_only_in_its_regions():
@@ -87,7 +87,9 @@
         return await trial.try_query(sender, call)
 
     run_scenario(shards, scenario, regions=THERE, shards=("x", "y"), services=(), min_coverage=0.5)
-    assert {name for each in shards.values() for name in names_reached(each)} == {"far-1"}
+    assert {name for replicas in shards.values() for name in reached_replicas(replicas)} == {
+        "far-1"
+    }
 
 
 def test_a_restricted_query_is_refused_if_too_few_shards_are_in_its_regions():
@@ -96,11 +98,11 @@
     async def scenario(sender, call):
         return await answering.query_shards(sender, call)
 
-    ending = run_scenario(
+    result = run_scenario(
         scripts, scenario, regions=THERE, shards=("x", "y"), services=(), min_coverage=0.9
     )
-    assert (ending.outcome, ending.reason) == ("refused", replicas_module.OUT_OF_REGION)
-    assert not any(names_reached(each) for each in scripts.values())
+    assert (result.outcome, result.reason) == ("refused", replicas_module.OUT_OF_REGION)
+    assert not any(reached_replicas(replicas) for replicas in scripts.values())
 
 
 def test_a_restricted_query_is_handed_only_to_peers_in_its_regions():
@@ -115,16 +117,18 @@
             received.append(handover_codec.decode_batch(request.body))
             return messages.Answer(503)
 
-        async with handing.peer(handle) as towards:
-            sender.handover = towards
+        async with handing.peer(handle) as peer_handover:
+            sender.handover = peer_handover
             call = handing.query_call(regions=frozenset({"here"}), min_coverage=0.3)
-            ending = await answering.query_shards(sender, call)
+            result = await answering.query_shards(sender, call)
             assert not received
-            assert ending.outcome == "partial"
-            assert {name for each in scripts.values() for name in names_reached(each)} == {"near-3"}
+            assert result.outcome == "partial"
+            assert {
+                name for replicas in scripts.values() for name in reached_replicas(replicas)
+            } == {"near-3"}
             call = handing.query_call(regions=THERE)
             await answering.query_shards(sender, call)
-            assert [each.regions for each in received] == [THERE]
+            assert [batch.regions for batch in received] == [THERE]
         await sender.tasks.close()
 
     asyncio.run(main())
@@ -154,12 +158,14 @@
         await sender.tasks.close()
 
     asyncio.run(main())
-    assert {name for each in scripts.values() for name in names_reached(each)} == {"far-1"}
+    assert {name for replicas in scripts.values() for name in reached_replicas(replicas)} == {
+        "far-1"
+    }
 
 
 def evacuate(sender, *data_centres):
-    for each in data_centres:
-        sender.replicas.evacuate(each, 0.0)
+    for data_centre in data_centres:
+        sender.replicas.evacuate(data_centre, 0.0)
 
 
 @pytest.mark.parametrize(
@@ -168,7 +174,7 @@
         (["near"], {"far-1", "further-1"}, ""),
         (["near", "far"], {"further-1"}, ""),
         (["near", "far", "further"], set(), replicas_module.EVACUATED),
-        (["unknown"], set(FAR_AND_NEAR), ""),
+        (["unknown"], set(REPLICA_NAMES), ""),
     ],
 )
 def test_replicas_of_an_evacuated_data_centre_get_no_requests(data_centres, allowed, reason):
@@ -180,7 +186,7 @@
         return await attempts.get_answer(sender, call, "s")
 
     outcome = run_scenario({"s": replicas}, scenario, max_attempts=3)
-    assert names_reached(replicas) <= allowed
+    assert reached_replicas(replicas) <= allowed
     if reason:
         assert outcome == sending.NotRun(reason, sent=False)
 
@@ -210,8 +216,10 @@
         replicas["near-1"].may_connect.set()
         outcome = await task
         assert isinstance(outcome, sending.Answered)
-        assert names_reached(replicas) == {"far-1"}
-        (near,) = (each for each in sender.replicas.of("s") if each.entry.data_centre == "near")
+        assert reached_replicas(replicas) == {"far-1"}
+        (near,) = (
+            replica for replica in sender.replicas.of("s") if replica.entry.data_centre == "near"
+        )
         assert near.failures == 0
         assert sender.counters.totals["direct.withheld.evacuated"] == 1
         await sender.tasks.close()
@@ -244,7 +252,7 @@
 
 
 @pytest.mark.parametrize(
-    ("share", "most"),
+    ("share", "max_requests"),
     [
         (warm_up.Share(2.0, senders=0), 0),
         (warm_up.Share(2.0), 1),
@@ -253,7 +261,7 @@
     ],
     ids=["not a sender", "only sender", "later phase", "not limited"],
 )
-def test_a_cold_replica_gets_no_more_than_the_share_of_this_instance(share, most):
+def test_a_cold_replica_gets_no_more_than_the_share_of_this_instance(share, max_requests):
     """Guards against crashes of replicas that get the requests of all instances at their start."""
     replicas = scripted_replicas(GOOD, names=("near-1",))
 
@@ -267,6 +275,6 @@
         return [await attempts.get_answer(sender, call, "s") for _ in range(4)]
 
     outcomes = run_scenario({"s": replicas}, scenario)
-    assert len(replicas["near-1"].requests) == most
+    assert len(replicas["near-1"].requests) == max_requests
     refused = sending.NotRun(replicas_module.COLD, sent=False)
-    assert outcomes.count(refused) == 4 - most
+    assert outcomes.count(refused) == 4 - max_requests
--- a/tests/direct/test_replicas.py
+++ b/tests/direct/test_replicas.py
@@ -45,14 +45,14 @@
 
 def make_replicas(entries, pools):
     replicas = replicas_module.Replicas(
-        lambda each: pools.setdefault(each.instance, Pool()), PLACE, budget.Allowance()
+        lambda entry: pools.setdefault(entry.instance, Pool()), PLACE, budget.Allowance()
     )
-    for each in entries:
-        replicas.put(each)
+    for entry in entries:
+        replicas.put(entry)
     return replicas
 
 
-ALL = [entry("n", "near"), entry("b", "beside"), entry("f", "far")]
+ALL_ENTRIES = [entry("n", "near"), entry("b", "beside"), entry("f", "far")]
 
 
 @pytest.mark.parametrize(
@@ -73,7 +73,9 @@
     pools = {name: Pool() for name in data_centres}
     for name, pool in pools.items():
         pool.has_idle = name in connected
-    replicas = make_replicas([entry(name, place) for name, place in data_centres.items()], pools)
+    replicas = make_replicas(
+        [entry(name, data_centre) for name, data_centre in data_centres.items()], pools
+    )
     route = routes.Route("r", "h", "/", True, 1000.0, 150.0, 1, 2)
     assert replicas.choose("s", route, (), 0.0).entry.instance == chosen
 
@@ -81,16 +83,20 @@
 @pytest.mark.parametrize(
     ("entries", "far", "pools", "warmed"),
     [
-        pytest.param(ALL, True, {}, {"n", "b", "f"}, id="few instances"),
-        pytest.param(ALL, False, {}, {"n", "b"}, id="many instances"),
+        pytest.param(ALL_ENTRIES, True, {}, {"n", "b", "f"}, id="few instances"),
+        pytest.param(ALL_ENTRIES, False, {}, {"n", "b"}, id="many instances"),
         pytest.param(
             [entry("f", "far")], True, {}, set(), id="no near replica: parts are handed over"
         ),
         pytest.param(
-            ALL, True, {"f": Pool(max_connections=1)}, {"n", "b"}, id="only one connection allowed"
+            ALL_ENTRIES,
+            True,
+            {"f": Pool(max_connections=1)},
+            {"n", "b"},
+            id="only one connection allowed",
         ),
         pytest.param(
-            ALL, True, {"n": Pool(open_count=1)}, {"b", "f"}, id="connection already open"
+            ALL_ENTRIES, True, {"n": Pool(open_count=1)}, {"b", "f"}, id="connection already open"
         ),
         pytest.param([entry("n", "near", draining=True)], True, {}, set(), id="draining"),
         pytest.param(
@@ -114,9 +120,11 @@
 
 def test_no_connection_is_prewarmed_to_an_ejected_replica():
     pools = {}
-    replicas = make_replicas(ALL, pools)
+    replicas = make_replicas(ALL_ENTRIES, pools)
     for _ in range(replica_module.FAILURES_TO_EJECT):
-        next(each for each in replicas.all() if each.entry.instance == "n").record_failure(NOW_S)
+        next(replica for replica in replicas.all() if replica.entry.instance == "n").record_failure(
+            NOW_S
+        )
     asyncio.run(replicas.warm(NOW_S, lambda service: True, far=False))
     assert (pools["n"].open_count, pools["b"].open_count) == (0, 1)
 
--- a/tests/direct/test_routes.py
+++ b/tests/direct/test_routes.py
@@ -58,6 +58,6 @@
     route = make_route(
         "r", "h", "/", services=(routes.WeightedService("a", 3), routes.WeightedService("b", 1))
     )
-    spread, rng = callers.WeightedRoundRobin(), random.Random(1)
-    counts = collections.Counter(spread.pick(route, rng) for _ in range(4000))
+    round_robin, rng = callers.WeightedRoundRobin(), random.Random(1)
+    counts = collections.Counter(round_robin.pick(route, rng) for _ in range(4000))
     assert 0.72 < counts["a"] / 4000 < 0.78
--- a/tests/direct/test_timing.py
+++ b/tests/direct/test_timing.py
@@ -37,8 +37,8 @@
     nine reached the caller too late. With a responsive event loop, the same margin would leave out
     shards that still arrive in time.
     """
-    found_ms = timing.answer_after_ms(goal_ms, response_latency_ms, shards, lag_ms)
-    assert found_ms == pytest.approx(expected_ms)
+    age_ms = timing.answer_after_ms(goal_ms, response_latency_ms, shards, lag_ms)
+    assert age_ms == pytest.approx(expected_ms)
 
 
 @pytest.mark.parametrize(
