--- a/src/turmericlug/direct/attempts.py
+++ b/src/turmericlug/direct/attempts.py
@@ -268,7 +268,7 @@
         return replicas_module.NO_REPLICA
     if not state.sender.quarantine.may_send(state.call):
         return "ends_replicas"
-    if other.has_overdue_attempt(now_s):
+    if other.has_late_attempt(now_s):
         return "all_late"
     return "" if state.sender.spend_retry_budget(state.service, now_s) else "budget"
 
--- a/src/turmericlug/direct/peers.py
+++ b/src/turmericlug/direct/peers.py
@@ -171,7 +171,7 @@
                 replica.entry.data_centre
                 for replica in sender.replicas.eligible(shard, route)
                 if self._place.distance(replica.entry.data_centre) == distance
-                and not (replica.is_set_aside(now_s) or replica.has_overdue_attempt(now_s))
+                and not (replica.is_set_aside(now_s) or replica.has_late_attempt(now_s))
             }
         while candidates:
             counts = collections.Counter(
@@ -218,7 +218,7 @@
             peer for peer in self._instances.of(data_centre) if peer.entry.instance not in names
         ]
         peer = self._instances.choose(data_centre, route, excluded, now_s)
-        if peer is None or peer.is_set_aside(now_s) or peer.has_overdue_attempt(now_s):
+        if peer is None or peer.is_set_aside(now_s) or peer.has_late_attempt(now_s):
             return None
         return peer
 
--- a/src/turmericlug/direct/replica.py
+++ b/src/turmericlug/direct/replica.py
@@ -119,7 +119,7 @@
         until_s = now_s + min(left_ms / 1000, MAX_COLD_S)
         self.cold_until_s = max(self.cold_until_s, until_s)
 
-    def has_overdue_attempt(self, now_s: float) -> bool:
+    def has_late_attempt(self, now_s: float) -> bool:
         """Whether an attempt has been in flight for longer than a slow one takes."""
         return any(now_s - attempt.began_s > attempt.overdue_after_s for attempt in self.attempts)
 
--- a/src/turmericlug/direct/replicas.py
+++ b/src/turmericlug/direct/replicas.py
@@ -360,7 +360,7 @@
         expected_ms *= 1 + SHED_FACTOR * replica.current_shed_share(now_s)
         if not replica.pool.has_idle:
             expected_ms += CONNECT_SHARE * median_ms
-        if replica.has_overdue_attempt(now_s):
+        if replica.has_late_attempt(now_s):
             expected_ms *= OVERDUE_FACTOR
         return expected_ms
 
--- a/src/turmericlug/entry/inspection.py
+++ b/src/turmericlug/entry/inspection.py
@@ -190,7 +190,7 @@
         return "set aside"
     if replica.is_cold(now_s):
         return "cold"
-    return "late" if replica.has_overdue_attempt(now_s) else "in use"
+    return "late" if replica.has_late_attempt(now_s) else "in use"
 
 
 def _version(view: view_module.View) -> int | None:
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -83,7 +83,7 @@
     mutant.one(
         "hedge-into-overload",
         "direct/attempts.py",
-        "    if other.has_overdue_attempt(now_s):",
+        "    if other.has_late_attempt(now_s):",
         "    if not other.entry:",
         "direct/test_attempts.py::test_no_hedge_when_every_replica_is_late",
     ),
