--- a/src/turmericlug/direct/handover.py
+++ b/src/turmericlug/direct/handover.py
@@ -222,7 +222,7 @@
                 )
 
                 def on_interim() -> None:
-                    # The peer has the batch, which is now overdue only if its first answer is. Wait
+                    # The peer has the batch, which is now late only if its first answer is. Wait
                     # until the deadline, as the peer may only be busy, unless the parts may reach
                     # all their replicas and so can be sent again.
                     may_send_again = all(
@@ -233,7 +233,7 @@
                         if may_send_again
                         else call.deadline_s
                     )
-                    attempt.overdue_after_s = first_answer_by_s - attempt.began_s
+                    attempt.late_after_s = first_answer_by_s - attempt.began_s
 
                 def on_chunk(chunk: bytes) -> None:
                     answer = handover_codec.decode_answer(chunk, pending.shards)
@@ -243,7 +243,7 @@
                         sender.counters.time_ms("handover.total_ms", duration_ms)
                         # The peer waits for the remaining slow parts until the caller's deadline.
                         timeout.reschedule(call.deadline_s)
-                        attempt.overdue_after_s = call.deadline_s - attempt.began_s
+                        attempt.late_after_s = call.deadline_s - attempt.began_s
                     pending.apply(answer)
 
                 timeout.reschedule(now_s + self._interim_timeout_s(data_centre))
--- a/src/turmericlug/direct/peers.py
+++ b/src/turmericlug/direct/peers.py
@@ -131,7 +131,7 @@
         first_replicas: FirstReplicas,
         now_s: float,
     ) -> list[Assignment]:
-        """Assign to peers the shards that they should send to instead of this instance."""
+        """Assign to peers the shards whose parts they send instead of this instance."""
         by_data_centre = self._choose_data_centres(sender, call.route, first_replicas, now_s)
         shards_have_owners = not placement.all_send_directly(sender.instance_count())
         assignments: list[Assignment] = []
@@ -212,7 +212,7 @@
         """
         Return the best of the named instances.
 
-        :returns: ``None`` if there is none, or if the best is set aside or has an overdue attempt
+        :returns: ``None`` if there is none, or if the best is set aside or has a late attempt
         """
         excluded = [
             peer for peer in self._instances.of(data_centre) if peer.entry.instance not in names
--- a/src/turmericlug/direct/placement.py
+++ b/src/turmericlug/direct/placement.py
@@ -1,7 +1,7 @@
 """
 Which instances send to a replica: pure functions of the lists of instances and shards.
 
-They serve a load of many instances that each take few queries over many shards. If each instance
+They are made for many instances that each get few queries over many shards. If each instance
 sent to every replica, connections would be idle for too long to be kept open, and replicas would
 run out of connections. So where instances are many, only two instances of a data centre, the
 owners, send to a shard's replicas there. The owners' connections stay open, and the work of a query
--- a/src/turmericlug/direct/quarantine.py
+++ b/src/turmericlug/direct/quarantine.py
@@ -101,8 +101,8 @@
         """
         Determine whether a replica crashed while it had a request that got no answer.
 
-        Awaited before the request is sent to another replica: otherwise the request crashed that
-        one as well before the first crash was known.
+        Awaited before the request is sent to another replica: otherwise it would crash that one as
+        well before the first crash is known.
         """
         now_s = self._now_s()
         if not isinstance(outcome, sending.Unknown) or self.table.is_answered(
@@ -210,7 +210,7 @@
                 call.abandon()
 
     async def _refuses_connections(self, replica: replica_module.Replica) -> bool:
-        """Whether a replica refuses connections; one probe serves all that broke together."""
+        """Whether a replica refuses connections; attempts that fail together share a probe."""
         key = _process_key(replica)
         if key not in self._probes:
             self._probes[key] = asyncio.create_task(_probe_refused(replica))
--- a/src/turmericlug/direct/replica.py
+++ b/src/turmericlug/direct/replica.py
@@ -31,7 +31,7 @@
     """One request sent to a replica."""
 
     began_s: float
-    overdue_after_s: float
+    late_after_s: float
     instance: str = ""
     """Name of the replica."""
     written_s: float | None = None
@@ -121,7 +121,7 @@
 
     def has_late_attempt(self, now_s: float) -> bool:
         """Whether an attempt has been in flight for longer than a slow one takes."""
-        return any(now_s - attempt.began_s > attempt.overdue_after_s for attempt in self.attempts)
+        return any(now_s - attempt.began_s > attempt.late_after_s for attempt in self.attempts)
 
     def is_set_aside(self, now_s: float) -> bool:
         """Whether it recently failed, shed or was misdirected, and is not due for another try."""
--- a/src/turmericlug/direct/replicas.py
+++ b/src/turmericlug/direct/replicas.py
@@ -25,8 +25,8 @@
 clearly faster, since the platform's highest charge is for the bytes between them."""
 CONNECT_SHARE = 0.5
 """Time to open a connection (a round trip and a handshake), as a fraction of the usual latency."""
-OVERDUE_FACTOR = 6.0
-"""A replica with an overdue attempt is chosen only if the others are more than six times as slow: a
+LATE_FACTOR = 6.0
+"""A replica with a late attempt is chosen only if the others are more than six times as slow: a
 pause of a replica lasts 200 to 300 ms, several times the usual latency of a part."""
 FAILURE_FACTOR = 3.0
 """A replica that fails all requests counts as four times as slow until it is ejected."""
@@ -361,7 +361,7 @@
         if not replica.pool.has_idle:
             expected_ms += CONNECT_SHARE * median_ms
         if replica.has_late_attempt(now_s):
-            expected_ms *= OVERDUE_FACTOR
+            expected_ms *= LATE_FACTOR
         return expected_ms
 
     def max_median_ms(self, service: str, route: routes.Route) -> float:
