--- a/tests/direct/test_handover.py
+++ b/tests/direct/test_handover.py
@@ -213,7 +213,7 @@
     where two are allowed.
     """
 
-    async def run(ejected, again):
+    async def run(ejected, maybe_sent_before):
         reset = client.ExchangeError("reset")
         replicas = {name: scripted.Scripted(reset) for name in names}
         sender = handing.make_sender({"x": replicas})
@@ -221,7 +221,7 @@
         for replica in sender.replicas.of("x")[:ejected]:
             replica.ejected_until_s = now_s + 60
         batch = attrs.evolve(
-            handing.BATCH, request_id=request_id, shards=("x",), maybe_sent_before=again
+            handing.BATCH, request_id=request_id, shards=("x",), maybe_sent_before=maybe_sent_before
         )
         body = handover_codec.encode_batch(batch)
         request = messages.Request(b"POST", handover.PATH, (), body, now_s)
@@ -231,7 +231,9 @@
         return [name for name, script in replicas.items() for _ in script.requests]
 
     async def main():
-        return await run(ejected=1, again=False), await run(ejected=0, again=True)
+        return await run(ejected=1, maybe_sent_before=False), await run(
+            ejected=0, maybe_sent_before=True
+        )
 
     first, second = asyncio.run(main())
     assert len(second) == 1
