--- a/src/turmericlug/direct/peers.py
+++ b/src/turmericlug/direct/peers.py
@@ -72,7 +72,7 @@
         self._preferred.clear()
 
     def _instance_names(self, data_centre: str) -> list[str]:
-        names = [each.entry.instance for each in self._instances.of(data_centre)]
+        names = [peer.entry.instance for peer in self._instances.of(data_centre)]
         return [*names, self._place.name] if data_centre == self._place.data_centre else names
 
     def owners(self, data_centre: str, shard: str) -> list[str]:
@@ -111,8 +111,10 @@
         instances = sender.instance_count()
         if placement.all_send_directly(instances) or not sender.is_shard(service):
             return budget.slack_share(instances, owners=0, is_owner=False)
-        data_centres = {each.entry.data_centre for each in sender.replicas.of(service)}
-        owners = [name for each in data_centres for name in self.owners(each, service)]
+        data_centres = {replica.entry.data_centre for replica in sender.replicas.of(service)}
+        owners = [
+            name for data_centre in data_centres for name in self.owners(data_centre, service)
+        ]
         return budget.slack_share(instances, len(owners), self._place.name in owners)
 
     def record_round_trip(self, data_centre: str, round_trip_ms: float) -> None:
@@ -123,14 +125,18 @@
         )
 
     def plan(
-        self, sender: sender_module.Sender, call: sending.Call, first: FirstReplicas, now_s: float
+        self,
+        sender: sender_module.Sender,
+        call: sending.Call,
+        first_replicas: FirstReplicas,
+        now_s: float,
     ) -> list[Assignment]:
-        """Assign to peers the shards that they should send to instead of this instance."""
-        by_data_centre = self._choose_data_centres(sender, call.route, first, now_s)
-        shared = not placement.all_send_directly(sender.instance_count())
+        """Assign to peers the shards whose parts they send instead of this instance."""
+        by_data_centre = self._choose_data_centres(sender, call.route, first_replicas, now_s)
+        shards_have_owners = not placement.all_send_directly(sender.instance_count())
         assignments: list[Assignment] = []
         for data_centre, shards in by_data_centre.items():
-            if shared:
+            if shards_have_owners:
                 assignments += self._assign_to_owners(data_centre, shards, call.route, now_s)
             elif data_centre != self._place.data_centre and len(shards) >= MIN_SHARDS_PER_BATCH:
                 names = placement.preferred(
@@ -145,7 +151,7 @@
         self,
         sender: sender_module.Sender,
         route: routes.Route,
-        first: FirstReplicas,
+        first_replicas: FirstReplicas,
         now_s: float,
     ) -> dict[str, list[str]]:
         """
@@ -156,23 +162,30 @@
         """
         chosen_shards: dict[str, list[str]] = {}
         candidates: dict[str, set[str]] = {}
-        for shard, best in first.items():
+        for shard, best in first_replicas.items():
             distance = self._place.distance(best.entry.data_centre)
             if distance == placement.SAME_DATA_CENTRE:
                 chosen_shards.setdefault(best.entry.data_centre, []).append(shard)
                 continue
             candidates[shard] = {best.entry.data_centre} | {
-                each.entry.data_centre
-                for each in sender.replicas.eligible(shard, route)
-                if self._place.distance(each.entry.data_centre) == distance
-                and not (each.set_aside(now_s) or each.overdue(now_s))
+                replica.entry.data_centre
+                for replica in sender.replicas.eligible(shard, route)
+                if self._place.distance(replica.entry.data_centre) == distance
+                and not (replica.is_set_aside(now_s) or replica.has_late_attempt(now_s))
             }
         while candidates:
             counts = collections.Counter(
-                each for data_centres in candidates.values() for each in data_centres
+                data_centre for data_centres in candidates.values() for data_centre in data_centres
+            )
+            chosen = min(
+                counts,
+                key=lambda data_centre: (
+                    -counts[data_centre],
+                    self.round_trip_ms(data_centre),
+                    data_centre,
+                ),
             )
-            chosen = min(counts, key=lambda each: (-counts[each], self.round_trip_ms(each), each))
-            shards = [shard for shard, each in candidates.items() if chosen in each]
+            shards = [shard for shard, data_centres in candidates.items() if chosen in data_centres]
             chosen_shards[chosen] = shards
             for shard in shards:
                 del candidates[shard]
@@ -199,53 +212,53 @@
         """
         Return the best of the named instances.
 
-        :returns: ``None`` if there is none, or if the best is set aside or has an overdue attempt
+        :returns: ``None`` if there is none, or if the best is set aside or has a late attempt
         """
-        others = [
-            each for each in self._instances.of(data_centre) if each.entry.instance not in names
+        excluded = [
+            peer for peer in self._instances.of(data_centre) if peer.entry.instance not in names
         ]
-        peer = self._instances.choose(data_centre, route, others, now_s)
-        if peer is None or peer.set_aside(now_s) or peer.overdue(now_s):
+        peer = self._instances.choose(data_centre, route, excluded, now_s)
+        if peer is None or peer.is_set_aside(now_s) or peer.has_late_attempt(now_s):
             return None
         return peer
 
-    def preferred_peers(self, shared: bool) -> list[replica_module.Replica]:
+    def preferred_peers(self, shards_have_owners: bool) -> list[replica_module.Replica]:
         """
         Return the peers that this instance hands batches to.
 
         They are a few fixed ones per data centre, so that connections stay in use and their number
         does not grow with the number of instances.
 
-        :param shared: whether instances are so many that each shard has owners
+        :param shards_have_owners: whether instances are so many that each shard has owners
         """
-        if shared in self._preferred:
-            return self._preferred[shared]
-        found = self._preferred[shared] = []
-        for data_centre in {each.entry.data_centre for each in self._instances.all()}:
+        if shards_have_owners in self._preferred:
+            return self._preferred[shards_have_owners]
+        peers = self._preferred[shards_have_owners] = []
+        for data_centre in {peer.entry.data_centre for peer in self._instances.all()}:
             names = self._instance_names(data_centre)
-            if shared:
+            if shards_have_owners:
                 preferred = {name for owners in placement.owners_by_group(names) for name in owners}
             elif data_centre == self._place.data_centre:
                 continue
             else:
                 preferred = set(placement.preferred(self._place.name, names, PEERS_PER_DATA_CENTRE))
-            found += [
-                each for each in self._instances.of(data_centre) if each.entry.instance in preferred
+            peers += [
+                peer for peer in self._instances.of(data_centre) if peer.entry.instance in preferred
             ]
-        return found
+        return peers
 
-    async def warm(self, shared: bool) -> None:
+    async def warm(self, shards_have_owners: bool) -> None:
         """
         Open connections to the preferred peers before they are needed.
 
         The first batch on a new connection takes an extra round trip, which is enough to miss a
         latency goal of 135 ms.
 
-        :param shared: whether instances are so many that each shard has owners
+        :param shards_have_owners: whether instances are so many that each shard has owners
         """
         now_s = asyncio.get_running_loop().time()
-        for peer in self.preferred_peers(shared):
-            if peer.set_aside(now_s) or peer.pool.open_count:
+        for peer in self.preferred_peers(shards_have_owners):
+            if peer.is_set_aside(now_s) or peer.pool.open_count:
                 continue
             try:
                 await peer.pool.warm()
--- a/src/turmericlug/entry/batches.py
+++ b/src/turmericlug/entry/batches.py
@@ -81,7 +81,11 @@
     shard_by_task = {
         loop.create_task(
             attempts.get_answer(
-                sender, call, shard, handover_data_centre=batch.data_centre, is_retry=batch.again
+                sender,
+                call,
+                shard,
+                handover_data_centre=batch.data_centre,
+                is_retry=batch.maybe_sent_before,
             )
         ): shard
         for shard in batch.shards
@@ -115,7 +119,7 @@
         finally:
             for task in shard_by_task:
                 task.cancel()
-            call.answered(timing.STUCK_AFTER_S)
+            call.shorten_timeouts(timing.STUCK_AFTER_S)
 
 
 def _log_first_answer(
