--- a/src/turmericlug_lab/experiment.py
+++ b/src/turmericlug_lab/experiment.py
@@ -52,7 +52,7 @@
             entries = await _entries(fleet, scenario, policy, profile)
             if scenario.rules and policy == TURMERICLUG:
                 plain = {"operation": "add", "text": scenario.rules}
-                await fleet.operate("e1", "POST", "/v1/rules/edit", plain)
+                await fleet.call_operators_api("e1", "POST", "/v1/rules/edit", plain)
             progress(f"{scenario.name}/{policy}: up")
             return await _measure(fleet, scenario, policy, profile, repeat, entries, progress)
 
@@ -104,7 +104,7 @@
     for target in fleet.targets.values():
         services.setdefault(target.service, []).append(f"http://127.0.0.1:{target.port}")
     entries = {}
-    for number, port in enumerate(fleet_spec.free_ports(scenario.daemons), 1):
+    for number, port in enumerate(fleet_spec.reserve_ports(scenario.daemons), 1):
         name = f"b{number}"
         plain = {
             "name": name,
@@ -121,7 +121,7 @@
         fleet.launch(name, "standin", "baseline", str(path))
         entries[name] = f"http://127.0.0.1:{port}"
     for address in entries.values():
-        await fleet.answering(f"{address}/v1/ready")
+        await fleet.wait_responding(f"{address}/v1/ready")
     return entries
 
 
@@ -175,7 +175,7 @@
 
 
 def _rate(load: scenario_module.Load, profile: profiles.Profile) -> float:
-    return load.utilisation * profiles.slots_per_s(profile, load.service)
+    return load.utilisation * profiles.saturation_rate_per_s(profile, load.service)
 
 
 def _generator(
@@ -212,8 +212,8 @@
     names = profile.groups.get(load.service, [load.service])
     replicas = next(each.replicas for each in profile.services if each.name == names[0])
     times = floor.Times(
-        scenario.targets.get("service_ms", profiles.MEAN_MS),
-        scenario.targets.get("spread", profiles.SPREAD),
+        scenario.targets.get("service_ms", profiles.MEDIAN_SERVICE_MS),
+        scenario.targets.get("spread", profiles.SERVICE_TIME_SIGMA),
         scenario.targets.get("straggler_share", 0.0),
         scenario.targets.get("straggler_factor", 10.0),
     )
@@ -225,8 +225,8 @@
     names = [
         name for name, each in fleet.targets.items() if fleet.processes[each.process].poll() is None
     ]
-    reports = await asyncio.gather(*(fleet.report(name) for name in names))
-    store = await fleet.report("platform")
+    reports = await asyncio.gather(*(fleet.stats(name) for name in names))
+    store = await fleet.stats("platform")
     return {
         "targets": dict(zip(names, reports, strict=True)),
         "store_calls": sum(store.values()),
@@ -277,7 +277,7 @@
     """Add up the counters of all daemons; timers stay by instance."""
     totals: dict[str, int] = {}
     name = next(each for each in fleet.daemons if fleet.processes[each].poll() is None)
-    _, status = await fleet.operate(name, "GET", "/v1/status")
+    _, status = await fleet.call_operators_api(name, "GET", "/v1/status")
     for instance in status["instances"]:
         for counter, value in instance.get("counters", {}).items():
             totals[counter] = totals.get(counter, 0) + value
@@ -338,7 +338,7 @@
         fleet.signal(name, signal.SIGTERM)
         await fleet.wait_exit(name)
         fleet.start_daemon(name)
-        await fleet.ready(name)
+        await fleet.wait_ready(name)
 
 
 async def _cut(fleet: fleet_module.Fleet, centre: str) -> None:
--- a/src/turmericlug_lab/fleet.py
+++ b/src/turmericlug_lab/fleet.py
@@ -38,7 +38,7 @@
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.targets: dict[str, fleet_spec.Target] = {}
         self.daemons: dict[str, fleet_spec.Daemon] = {}
-        self.platform_port, self.proxy_port = fleet_spec.free_ports(2)
+        self.platform_port, self.proxy_port = fleet_spec.reserve_ports(2)
         self._routes: list[dict[str, typing.Any]] = []
 
     def launch(self, name: str, program: str, *arguments: str) -> None:
@@ -55,32 +55,32 @@
         self.launch("platform", "standin", "platform", "--port", str(self.platform_port))
         self._plan_targets()
         self._start_targets()
-        await self.answering(f"http://127.0.0.1:{self.platform_port}/control")
+        await self.wait_responding(f"http://127.0.0.1:{self.platform_port}/control")
         self._plan_daemons()
         if self._routes:
             path = self.folder / "proxy.json"
             path.write_text(json.dumps(self._routes))
             self.launch("proxy", "standin", "proxy", str(path), "--port", str(self.proxy_port))
         for target in self.targets.values():
-            await self.answering(f"http://127.0.0.1:{target.port}/control")
+            await self.wait_responding(f"http://127.0.0.1:{target.port}/control")
             await self.register(target.name)
         for daemon in self.daemons.values():
             await self.register_daemon(daemon.name)
             self.start_daemon(daemon.name)
         for daemon in self.daemons.values():
-            await self.ready(daemon.name)
+            await self.wait_ready(daemon.name)
         if not self.daemons:
             return
         for daemon in self.daemons.values():
-            await self.sees_all(daemon.name)
+            await self.wait_all_alive(daemon.name)
         first = next(iter(self.daemons))
-        status, answer = await self.operate(first, "PUT", "/v1/catalog", self.catalog())
+        status, answer = await self.call_operators_api(first, "PUT", "/v1/catalog", self.catalog())
         if status not in (200, 202):
             raise fleet_spec.FleetError(f"catalogue: {answer}")
 
     def _plan_targets(self) -> None:
         count = sum(service.replicas for service in self.spec.services)
-        ports = iter(fleet_spec.free_ports(count))
+        ports = iter(fleet_spec.reserve_ports(count))
         for index, service in enumerate(self.spec.services):
             for number in range(service.replicas):
                 name = f"{service.name}-r{number}"
@@ -121,7 +121,7 @@
 
     def _plan_daemon(self, index: int) -> fleet_spec.Daemon:
         name = f"e{index + 1}"
-        callers, peers, operators, via_proxy, platform = fleet_spec.free_ports(5)
+        callers, peers, operators, via_proxy, platform = fleet_spec.reserve_ports(5)
         centre = self.spec.data_centres[index % len(self.spec.data_centres)]
         proxied = self.spec.proxied or bool(self.spec.delay_ms)
         daemon = fleet_spec.Daemon(
@@ -242,7 +242,7 @@
         async with self.http.put(url, json={"Node": name, "ServiceID": name}) as response:
             response.raise_for_status()
 
-    async def answering(self, url: str) -> None:
+    async def wait_responding(self, url: str) -> None:
         """Wait until something answers under an address."""
         end_s = time.monotonic() + _START_LIMIT_S
         while time.monotonic() < end_s:
@@ -253,17 +253,17 @@
             await asyncio.sleep(0.03)
         raise fleet_spec.FleetError(f"{url} does not answer")
 
-    async def ready(self, name: str) -> None:
+    async def wait_ready(self, name: str) -> None:
         """Wait until a daemon serves callers; tells the end of its log if it does not."""
         daemon = self.daemons[name]
         try:
-            await self.answering(f"http://{daemon.host}:{daemon.callers_port}/v1/ready")
+            await self.wait_responding(f"http://{daemon.host}:{daemon.callers_port}/v1/ready")
         except fleet_spec.FleetError as error:
             ended = self.processes[name].poll()
             last = (self.folder / f"{name}.log").read_text()[-1500:]
             raise fleet_spec.FleetError(f"{error}; exit code {ended}; log: {last}") from error
 
-    async def sees_all(self, name: str) -> None:
+    async def wait_all_alive(self, name: str) -> None:
         """Wait until a daemon holds every daemon for alive."""
         end_s = time.monotonic() + _START_LIMIT_S
         while time.monotonic() < end_s:
@@ -275,7 +275,7 @@
 
     async def members(self, name: str) -> dict[str, str]:
         """Return what a daemon believes of each instance."""
-        _, status = await self.operate(name, "GET", "/v1/status?own")
+        _, status = await self.call_operators_api(name, "GET", "/v1/status?own")
         return status["instances"][0]["members"]
 
     async def query(
@@ -288,7 +288,7 @@
         async with self.http.post(url, json=plain, headers=headers) as response:
             return response.status, await response.json()
 
-    async def operate(
+    async def call_operators_api(
         self, name: str, method: str, path: str, plain: typing.Any = None
     ) -> tuple[int, dict[str, typing.Any]]:
         """Call a daemon's operators' port."""
@@ -309,7 +309,7 @@
         async with self.http.post(url, json=fields) as response:
             response.raise_for_status()
 
-    async def report(self, where: str) -> dict[str, typing.Any]:
+    async def stats(self, where: str) -> dict[str, typing.Any]:
         """Read a stand-in's own numbers."""
         port = self.platform_port if where == "platform" else self.targets[where].port
         async with self.http.get(f"http://127.0.0.1:{port}/control") as response:
--- a/src/turmericlug_lab/fleet_spec.py
+++ b/src/turmericlug_lab/fleet_spec.py
@@ -75,7 +75,7 @@
 """Sockets that keep the ports given out, until this process ends."""
 
 
-def free_ports(count: int) -> list[int]:
+def reserve_ports(count: int) -> list[int]:
     """
     Find ports that are free on loopback and keep them for processes of this one's fleets.
 
--- a/src/turmericlug_lab/profiles.py
+++ b/src/turmericlug_lab/profiles.py
@@ -6,8 +6,8 @@
 
 from turmericlug_lab import fleet_spec
 
-MEAN_MS = 25.0
-SPREAD = 0.3
+MEDIAN_SERVICE_MS = 25.0
+SERVICE_TIME_SIGMA = 0.3
 
 
 @attrs.frozen
@@ -28,7 +28,7 @@
 def _service(
     name: str, replicas: int, slots: int, connections: int, connect_ms: float
 ) -> fleet_spec.ServiceSpec:
-    behaviour = {"service_ms": MEAN_MS, "spread": SPREAD}
+    behaviour = {"service_ms": MEDIAN_SERVICE_MS, "spread": SERVICE_TIME_SIGMA}
     return fleet_spec.ServiceSpec(name, replicas, slots, connections, connect_ms, behaviour)
 
 
@@ -61,10 +61,10 @@
 }
 
 
-def slots_per_s(profile: Profile, group: str) -> float:
+def saturation_rate_per_s(profile: Profile, group: str) -> float:
     """Return how many queries a second keep every slot of a group's busiest service at work."""
     names = profile.groups.get(group, [group])
     services = [service for service in profile.services if service.name in names]
     # The log-normal's mean lies above its median, which is what service_ms sets.
-    mean_s = MEAN_MS / 1000 * 2.718281828 ** (SPREAD**2 / 2)
+    mean_s = MEDIAN_SERVICE_MS / 1000 * 2.718281828 ** (SERVICE_TIME_SIGMA**2 / 2)
     return min(service.replicas * service.slots for service in services) / mean_s
--- a/src/turmericlug_lab/slopes.py
+++ b/src/turmericlug_lab/slopes.py
@@ -94,7 +94,7 @@
 
 async def _counters(fleet: fleet_module.Fleet) -> dict[str, dict[str, int]]:
     first = next(iter(fleet.daemons))
-    _, status = await fleet.operate(first, "GET", "/v1/status")
+    _, status = await fleet.call_operators_api(first, "GET", "/v1/status")
     return {each["instance"]: each.get("counters", {}) for each in status["instances"]}
 
 
@@ -102,10 +102,10 @@
     """Measure what daemons without any query spend on control."""
     await asyncio.sleep(_SETTLE_S)
     counters, used = await _counters(fleet), _usage(fleet)
-    store = sum((await fleet.report("platform")).values())
+    store = sum((await fleet.stats("platform")).values())
     began_at_s = time.monotonic()
     await asyncio.sleep(_IDLE_S)
-    after_used, after_store = _usage(fleet), sum((await fleet.report("platform")).values())
+    after_used, after_store = _usage(fleet), sum((await fleet.stats("platform")).values())
     duration_s = time.monotonic() - began_at_s
     after = await _counters(fleet)
 
@@ -140,7 +140,7 @@
 async def _edit(fleet: fleet_module.Fleet, number: int, text: str = "") -> float:
     text = text or f"[rule r{number}]\nwhen_caller = c{number}\nthen_hedge = no\n"
     began_at_s = time.monotonic()
-    status, answer = await fleet.operate(
+    status, answer = await fleet.call_operators_api(
         "e1", "POST", "/v1/rules/edit", {"operation": "add", "text": text}
     )
     if status != 200:
@@ -200,7 +200,7 @@
             catalog = fleet.catalog()
             for service in catalog["services"].values():
                 service["data_centre"] = "dc2"
-            await fleet.operate("e1", "PUT", "/v1/catalog", catalog)
+            await fleet.call_operators_api("e1", "PUT", "/v1/catalog", catalog)
             await asyncio.sleep(_SETTLE_S)
             idle = await _spend(fleet, lambda: asyncio.sleep(4.0))
             rate_per_s = 1200 / fan_out
@@ -271,10 +271,10 @@
                 raise fleet_spec.FleetError(f"bill: {answer}")
             took_ms.append((time.monotonic() - began_at_s) * 1000)
 
-    before, used = await fleet.report("platform"), _usage(fleet)
+    before, used = await fleet.stats("platform"), _usage(fleet)
     await asyncio.gather(*(office(mine) for mine in range(concurrent)))
     await asyncio.sleep(0.5)
-    after, after_used = await fleet.report("platform"), _usage(fleet)
+    after, after_used = await fleet.stats("platform"), _usage(fleet)
     cpu_s = sum(after_used[name][0] - used[name][0] for name in names)
     return {
         "concurrent": concurrent,
--- a/src/turmericlug_lab/standin_proxy.py
+++ b/src/turmericlug_lab/standin_proxy.py
@@ -113,7 +113,7 @@
                 await writer.drain()
         raise ConnectionResetError
 
-    def change(self, name: str, fields: dict[str, typing.Any]) -> None:
+    def update_route(self, name: str, fields: dict[str, typing.Any]) -> None:
         """Change a route; one that refuses also ends the connections it has."""
         route = self.routes[name]
         for key, value in fields.items():
@@ -136,7 +136,7 @@
     await proxy.start()
 
     async def control(request: web.Request) -> web.Response:
-        proxy.change(request.match_info["name"], await request.json())
+        proxy.update_route(request.match_info["name"], await request.json())
         return web.json_response({})
 
     application = web.Application()
--- a/tests/entry_process.py
+++ b/tests/entry_process.py
@@ -77,7 +77,7 @@
 def make(folder, name, store_port, regions=None, data_centre="dc-1", grace_s=3.0):
     """Write the settings of an instance and return the instance without starting it."""
     regions = regions or {"dc-1": "r-1"}
-    instance = Instance(name, folder / f"{name}.ini", fleet_spec.free_ports(5))
+    instance = Instance(name, folder / f"{name}.ini", fleet_spec.reserve_ports(5))
     text = _SETTINGS.format(
         name=name,
         data_centre=data_centre,
--- a/tests/integration/test_at_most_once.py
+++ b/tests/integration/test_at_most_once.py
@@ -57,14 +57,14 @@
     fleet.signal("e2", signal.SIGTERM)
     await fleet.wait_exit("e2")
     fleet.start_daemon("e2")
-    await fleet.ready("e2")
+    await fleet.wait_ready("e2")
 
 
 async def kill_one(fleet):
     fleet.signal("e2", signal.SIGKILL)
     await fleet.wait_exit("e2")
     fleet.start_daemon("e2")
-    await fleet.ready("e2")
+    await fleet.wait_ready("e2")
 
 
 async def store_returns(fleet):
@@ -81,7 +81,7 @@
     await fleet.wait_exit("e2")
     await fleet.control("platform", lose_writes=6, store_down=False)
     fleet.start_daemon("e2")
-    await fleet.ready("e2")
+    await fleet.wait_ready("e2")
 
 
 async def dying_targets(fleet):
--- a/tests/integration/test_bad_input.py
+++ b/tests/integration/test_bad_input.py
@@ -68,7 +68,7 @@
 
     async def scenario(fleet):
         for plain, problem in cases:
-            status, answer = await fleet.operate("e1", "POST", "/v1/rules/edit", plain)
+            status, answer = await fleet.call_operators_api("e1", "POST", "/v1/rules/edit", plain)
             assert 400 <= status < 500
             assert answer["problems"][0].startswith(problem), answer
         for method, path, plain in (
@@ -79,13 +79,15 @@
             ("PUT", "/v1/catalog", {"services": 3}),
             ("GET", "/v1/nowhere", None),
         ):
-            status, answer = await fleet.operate("e1", method, path, plain)
+            status, answer = await fleet.call_operators_api("e1", method, path, plain)
             assert 400 <= status < 500 and answer["problems"], (path, status)
         text = "[rule all]\nthen_hedge = no\n"
-        await fleet.operate("e1", "POST", "/v1/rules/edit", {"operation": "add", "text": text})
+        await fleet.call_operators_api(
+            "e1", "POST", "/v1/rules/edit", {"operation": "add", "text": text}
+        )
         hidden = "# why\n[rule hidden]\nwhen_caller = x\nthen_hedge = no\n"
         plain = {"operation": "add", "text": hidden}
-        status, answer = await fleet.operate("e1", "POST", "/v1/rules/edit", plain)
+        status, answer = await fleet.call_operators_api("e1", "POST", "/v1/rules/edit", plain)
         assert answer["problems"] == [
             "line 2: hidden: can never match, all before it takes all of it"
         ]
@@ -93,7 +95,7 @@
         url = f"http://{daemon.host}:{daemon.operators_port}/v1/drain"
         async with fleet.http.post(url, headers={"Authorization": "Bearer wrong"}) as response:
             assert response.status == 401
-        assert (await fleet.operate("e1", "GET", "/v1/rules"))[1]["revision"] == 2
+        assert (await fleet.call_operators_api("e1", "GET", "/v1/rules"))[1]["revision"] == 2
 
     play(scenario)
 
@@ -171,7 +173,7 @@
             await fleet.control("proxy/peers-e2", duplicate=False)
             await asyncio.sleep(0.5)
         conftest.check_honest(fleet, answers)
-        _, status = await fleet.operate("e2", "GET", "/v1/status")
+        _, status = await fleet.call_operators_api("e2", "GET", "/v1/status")
         assert status["instances"][0]["counters"].get("peer.rejected.bad_frame", 0) > 0
         for mark in {mark for mark, _, _ in answers}:
             ran = conftest.runs(fleet, f'{{"mark":"{mark}"}}')
--- a/tests/integration/test_leaving_target.py
+++ b/tests/integration/test_leaving_target.py
@@ -23,14 +23,14 @@
             await fleet.control("devis-01-r0", draining=True)
             await fleet.register("devis-01-r0", "critical")
             await asyncio.sleep(2)
-            before = (await fleet.report("devis-01-r0"))["received"]
+            before = (await fleet.stats("devis-01-r0"))["received"]
             for name in ("e1", "e2", "e3"):
                 fleet.signal(name, signal.SIGTERM)
                 await fleet.wait_exit(name)
                 fleet.start_daemon(name)
-                await fleet.ready(name)
+                await fleet.wait_ready(name)
                 await asyncio.sleep(1)
-            after = (await fleet.report("devis-01-r0"))["received"]
+            after = (await fleet.stats("devis-01-r0"))["received"]
         # Each new owner may have to find out once by itself, if nobody is left who knew.
         assert after - before <= 3, "a draining target goes on getting work"
         conftest.check_honest(fleet, answers)
@@ -49,9 +49,9 @@
         async with conftest.traffic(fleet, answers, clients=4, deadline_ms=1500):
             await fleet.register("devis-02-r1", "critical")
             await asyncio.sleep(2)
-            before = (await fleet.report("devis-02-r1"))["received"]
+            before = (await fleet.stats("devis-02-r1"))["received"]
             await asyncio.sleep(1)
-            after = (await fleet.report("devis-02-r1"))["received"]
+            after = (await fleet.stats("devis-02-r1"))["received"]
         assert after == before
         assert all(answer["outcome"] == "complete" for _, _, answer in answers)
 
@@ -72,7 +72,7 @@
             await asyncio.sleep(3)
             tail = len(answers)
             await asyncio.sleep(1)
-        _, status = await fleet.operate("e1", "GET", "/v1/status")
+        _, status = await fleet.call_operators_api("e1", "GET", "/v1/status")
         ejected = [
             target["target"]
             for instance in status["instances"]
--- a/tests/integration/test_membership.py
+++ b/tests/integration/test_membership.py
@@ -44,7 +44,7 @@
             fleet.signal("e2", signal.SIGCONT)
         for name in ("e1", "e3"):
             await conftest.eventually(sees(fleet, name, "e2", ("alive",)))
-        await fleet.ready("e2")
+        await fleet.wait_ready("e2")
 
     play(scenario)
 
@@ -97,7 +97,7 @@
         conftest.check_honest(fleet, answers)
         bad = [answer for _, _, answer in answers if answer["outcome"] != "complete"]
         assert not bad, bad[:2]
-        reports = [await fleet.report(name) for name in fleet.targets]
+        reports = [await fleet.stats(name) for name in fleet.targets]
         assert not sum(report["connections_refused"] for report in reports)
 
     play(scenario, proxied=True)
--- a/tests/integration/test_own_answer.py
+++ b/tests/integration/test_own_answer.py
@@ -75,7 +75,7 @@
                 await fleet.wait_exit("e2")
                 await asyncio.sleep(0.4)
                 fleet.start_daemon("e2")
-                await fleet.ready("e2")
+                await fleet.wait_ready("e2")
         conftest.check_honest(fleet, answers)
         assert all(answer["outcome"] == "complete" for _, _, answer in answers)
 
--- a/tests/integration/test_planned_stop.py
+++ b/tests/integration/test_planned_stop.py
@@ -27,7 +27,7 @@
                 fleet.signal(name, signal.SIGTERM)
                 assert await fleet.wait_exit(name) == 0
                 fleet.start_daemon(name)
-                await fleet.ready(name)
+                await fleet.wait_ready(name)
         bad = [answer for _, _, answer in answers if answer["outcome"] != "complete"]
         assert not bad, f"{len(bad)} of {len(answers)}: {[(b.get('reason'), b) for b in bad][:3]}"
         conftest.check_honest(fleet, answers)
--- a/tests/integration/test_random_faults.py
+++ b/tests/integration/test_random_faults.py
@@ -153,7 +153,7 @@
             await chaos.step()
         await chaos.heal()
         for name in fleet.daemons:
-            await fleet.ready(name)
+            await fleet.wait_ready(name)
         going = False
         await asyncio.gather(*tasks)
         conftest.check_honest(fleet, answers)
@@ -162,7 +162,7 @@
         for name in fleet.daemons:
             for rule, _ in accepted:
                 assert (await test_rules.reason_of(fleet, name, rule))[0] == "rule_shut"
-        _, history = await fleet.operate("e1", "GET", "/v1/rules/history?limit=64")
+        _, history = await fleet.call_operators_api("e1", "GET", "/v1/rules/history?limit=64")
         revisions = [edit["revision"] for edit in history["edits"]]
         assert revisions == sorted(revisions, reverse=True)
 
--- a/tests/integration/test_rules.py
+++ b/tests/integration/test_rules.py
@@ -15,7 +15,7 @@
 
 
 async def edit(fleet, through, operation, **fields):
-    return await fleet.operate(
+    return await fleet.call_operators_api(
         through, "POST", "/v1/rules/edit", {"operation": operation, **fields}
     )
 
@@ -64,7 +64,9 @@
         ), shared
         conflict = next(answer for answer in shared if answer["outcome"] == "conflict")
         assert conflict["with"]["operator"] in ("ann", "bob")
-        lists = [(await fleet.operate(name, "GET", "/v1/rules"))[1] for name in fleet.daemons]
+        lists = [
+            (await fleet.call_operators_api(name, "GET", "/v1/rules"))[1] for name in fleet.daemons
+        ]
         assert lists[0] == lists[1] == lists[2]
         names = [each["name"] for each in lists[0]["rules"]]
         assert sorted(names) == sorted(["shared", *(name for name, _ in added)])
@@ -95,7 +97,7 @@
         await fleet.control("platform", lose_answers=0, store_delay_ms=1.0)
         status, again = await edit(fleet, "e2", "add", text=rule("once"), edit="edit-1")
         assert again["revision"] == answer["revision"]
-        _, history = await fleet.operate("e3", "GET", "/v1/rules/history")
+        _, history = await fleet.call_operators_api("e3", "GET", "/v1/rules/history")
         assert [each["rule"] for each in history["edits"]].count("once") == 1
 
     play(scenario)
@@ -135,7 +137,7 @@
         fleet.signal("e3", signal.SIGKILL)
         await fleet.wait_exit("e3")
         fleet.start_daemon("e3")
-        await fleet.ready("e3")
+        await fleet.wait_ready("e3")
         assert (await reason_of(fleet, "e3", "kept"))[0] == "rule_shut"
 
     play(scenario)
@@ -158,7 +160,7 @@
             assert reason in ("rule_shut", "not_current")
 
         async def confirmed():
-            _, found = await fleet.operate("e1", "POST", "/v1/rules/confirm", {})
+            _, found = await fleet.call_operators_api("e1", "POST", "/v1/rules/confirm", {})
             return found["outcome"] == "accepted"
 
         await conftest.eventually(confirmed)
@@ -226,7 +228,7 @@
 
     async def scenario(fleet):
         await edit(fleet, "e1", "add", text=rule("accepted"))
-        _, history = await fleet.operate("e1", "GET", "/v1/rules/history")
+        _, history = await fleet.call_operators_api("e1", "GET", "/v1/rules/history")
         assert history["edits"]
         await fleet.control("platform", lose_writes=1)
         await asyncio.sleep(1.5)
@@ -286,12 +288,12 @@
     """
 
     async def scenario(fleet):
-        _, status = await fleet.operate("e1", "GET", "/v1/status")
+        _, status = await fleet.call_operators_api("e1", "GET", "/v1/status")
         readers = [each["instance"] for each in status["instances"] if each["reads_store"]]
         assert len(readers) == 2
-        before = (await fleet.report("platform"))["range"]
+        before = (await fleet.stats("platform"))["range"]
         await asyncio.sleep(3)
-        assert (await fleet.report("platform"))["range"] - before <= 12
+        assert (await fleet.stats("platform"))["range"] - before <= 12
         status, answer = await edit(fleet, "e1", "add", text=rule("one"))
         assert (status, answer["outcome"]) == (200, "accepted")
         for name in fleet.daemons:
@@ -303,7 +305,7 @@
         left = [name for name in fleet.daemons if name not in readers]
 
         async def accepted():
-            _, found = await fleet.operate(left[0], "POST", "/v1/rules/confirm", {})
+            _, found = await fleet.call_operators_api(left[0], "POST", "/v1/rules/confirm", {})
             return found.get("outcome") == "accepted"
 
         await edit(fleet, left[0], "add", text=rule("two"))
--- a/tests/integration/test_samples.py
+++ b/tests/integration/test_samples.py
@@ -24,7 +24,7 @@
     async def scenario(fleet):
         url = f"http://127.0.0.1:{fleet.platform_port}"
         parser["platform"].update(store_url=url, instances_url=url)
-        ports = fleet_spec.free_ports(3)
+        ports = fleet_spec.reserve_ports(3)
         keys = ("callers_port", "peers_port", "operators_port")
         parser["instance"].update(zip(keys, map(str, ports), strict=True))
         parser["policy"]["address_lifetime_ms"] = "100"
@@ -33,7 +33,7 @@
             parser.write(stream)
         fleet.launch("sample", "daemon", str(path))
         base = f"http://127.0.0.1:{ports[0]}"
-        await fleet.answering(f"{base}/v1/ready")
+        await fleet.wait_responding(f"{base}/v1/ready")
         token = parser["instance"]["operators_token"]
         async with fleet.http.put(
             f"http://127.0.0.1:{ports[2]}/v1/catalog",
--- a/tests/integration/test_snapshots.py
+++ b/tests/integration/test_snapshots.py
@@ -29,7 +29,7 @@
             catalog = fleet.catalog([{"name": "s1", "shards": {}}, split])
             for name in devis[::2]:
                 await fleet.control(name, snapshots=["s1", "s2"])
-            await fleet.operate("e1", "PUT", "/v1/catalog", catalog)
+            await fleet.call_operators_api("e1", "PUT", "/v1/catalog", catalog)
             for name in devis[1::2]:
                 await asyncio.sleep(0.1)
                 await fleet.control(name, snapshots=["s2"])
@@ -53,7 +53,7 @@
 
     async def scenario(fleet):
         both = [{"name": "s2", "shards": {}}, {"name": "s1", "shards": {}}]
-        await fleet.operate("e1", "PUT", "/v1/catalog", fleet.catalog(both))
+        await fleet.call_operators_api("e1", "PUT", "/v1/catalog", fleet.catalog(both))
         answers = []
         async with conftest.traffic(fleet, answers, deadline_ms=2000):
             await asyncio.sleep(0.2)
@@ -107,7 +107,7 @@
 
     async def scenario(fleet):
         names = ["devis-00-r0", "devis-00-r1"]
-        control_port, *ports = fleet_spec.free_ports(3)
+        control_port, *ports = fleet_spec.reserve_ports(3)
         routes = [
             {"name": name, "listen": port, "to": fleet.targets[name].port}
             for name, port in zip(names, ports, strict=True)
@@ -116,7 +116,7 @@
         path.write_text(json.dumps(routes))
         fleet.launch("cut", "standin", "proxy", str(path), "--port", str(control_port))
         for name, port in zip(names, ports, strict=True):
-            await fleet.answering(f"http://127.0.0.1:{port}/v1/health")
+            await fleet.wait_responding(f"http://127.0.0.1:{port}/v1/health")
             fleet.targets[name] = attrs.evolve(fleet.targets[name], port=port)
             await fleet.register(name)
 
--- a/tests/integration/test_whole_path.py
+++ b/tests/integration/test_whole_path.py
@@ -12,7 +12,7 @@
         assert answer["outcome"] == "complete"
         assert answer["coverage"] == {"answered": 4, "total": 4, "missing": []}
         conftest.check_honest(fleet, [("1", status, answer)])
-        status, edit = await fleet.operate(
+        status, edit = await fleet.call_operators_api(
             "e2",
             "POST",
             "/v1/rules/edit",
--- a/tests/lab/test_fleet_spec.py
+++ b/tests/lab/test_fleet_spec.py
@@ -17,13 +17,13 @@
     the fleet never became ready.
     """
     monkeypatch.setattr(fleet_spec, "_PORTS", (18000, 18100))
-    given = [port for _ in range(6) for port in fleet_spec.free_ports(10)]
+    given = [port for _ in range(6) for port in fleet_spec.reserve_ports(10)]
     assert len(set(given)) == 60
 
 
 def test_a_port_given_out_is_kept_from_others_until_it_is_used():
     """Another suite that looks for free ports at the same time must not find this one."""
-    (port,) = fleet_spec.free_ports(1)
+    (port,) = fleet_spec.reserve_ports(1)
     with socket.socket() as other, pytest.raises(OSError, match="in use"):
         other.bind(("", port))
 
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -17,7 +17,7 @@
     found = scenario.read(path)
     profile = profiles.PROFILES[found.profile]
     for load in found.loads:
-        assert profiles.slots_per_s(profile, load.service) > 0
+        assert profiles.saturation_rate_per_s(profile, load.service) > 0
 
 
 @pytest.mark.parametrize(
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -82,10 +82,10 @@
         names = [name for name in sorted(links.routes) if name.startswith(ends)]
         names = rng.sample(names, rng.randint(1, min(3, len(names))))
         for name in names:
-            links.change(name, fields)
+            links.update_route(name, fields)
         await asyncio.sleep(rng.uniform(least_s, most_s))
         for name in names:
-            links.change(name, plain)
+            links.update_route(name, plain)
 
     async def _delay(self):
         await self._link(0.5, 3.0, delay_ms=self.world.rng.choice((20.0, 150.0, 600.0)))
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -69,7 +69,7 @@
 
     def _instance(self, name, data_centre, store_port):
         """Make an instance, not yet started, and return the links to the store and from others."""
-        port, front = fleet_spec.free_ports(2)
+        port, front = fleet_spec.reserve_ports(2)
         instance = entry_process.make(self.folder, name, port, REGIONS, data_centre)
         self.instances.append(instance)
         return [
@@ -94,7 +94,7 @@
                 host, port = await stack.enter_async_context(
                     standin_platform.listening(replica.handle)
                 )
-                (front,) = fleet_spec.free_ports(1)
+                (front,) = fleet_spec.reserve_ports(1)
                 links.append(standin_proxy.Route(f"replica/{name}", front, port))
                 replica.address = (host, front)
                 replica.on_lethal = self._end_replica
@@ -112,9 +112,9 @@
     async def _restart_replica(self, replica):
         """Let a replica that has ended start again under its name."""
         link = f"replica/{replica.instance}"
-        self.links.change(link, {"mode": "refuse"})
+        self.links.update_route(link, {"mode": "refuse"})
         await asyncio.sleep(REPLICA_AWAY_S)
-        self.links.change(link, {"mode": "pass"})
+        self.links.update_route(link, {"mode": "pass"})
         replica.start_again()
         self.write_replicas([replica])
 
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -17,7 +17,7 @@
 @contextlib.asynccontextmanager
 async def connected():
     """Run the stand-in; yield a client of it, and a function that sets its behaviour."""
-    (port,) = fleet_spec.free_ports(1)
+    (port,) = fleet_spec.reserve_ports(1)
     url = f"http://127.0.0.1:{port}"
     serving = asyncio.create_task(standin_platform.serve("127.0.0.1", port))
     try:
--- a/tests/wire/test_link.py
+++ b/tests/wire/test_link.py
@@ -20,7 +20,7 @@
     counters = counters_module.Counters()
     server = server_module.Server(KEY, "server", counters)
     server.handlers = handlers
-    (port,) = fleet_spec.free_ports(1)
+    (port,) = fleet_spec.reserve_ports(1)
     link = link_module.Link(("127.0.0.1", port), key, "client", counters)
     async with server_module.listening(server, "127.0.0.1", port), link_module.opened(link):
         yield link, counters
