--- a/src/turmericlug_lab/fleet_spec.py
+++ b/src/turmericlug_lab/fleet_spec.py
@@ -1,4 +1,4 @@
-"""What a fleet of stand-ins and daemons consists of, and free ports for it."""
+"""Specification of a fleet of stand-ins and daemons, and reservation of ports for it."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 import attrs
 
-_PORTS = (10000, 32000)
+_PORT_RANGE = (10000, 32000)
 
 
 @attrs.frozen
 class ServiceSpec:
-    """A service of the stand-in fleet, with the limits of each replica."""
+    """A service of the fleet and the limits of each of its replicas."""
 
     name: str
     replicas: int
@@ -26,20 +26,21 @@
 
 @attrs.frozen
 class FleetSpec:
-    """What to start."""
+    """The services and daemons of a fleet, and how they are connected and configured."""
 
     services: tuple[ServiceSpec, ...]
     groups: dict[str, list[str]]
     daemons: int = 3
     data_centres: tuple[str, ...] = ("dc1", "dc2", "dc3")
     delay_ms: dict[tuple[str, str], float] = attrs.field(factory=dict)
-    """One-way delay between data centres; peers' traffic then goes through the proxy."""
+    """One-way delay by source and destination data centre; any entry implies ``proxied``."""
     proxied: bool = False
+    """Route the daemons' traffic to peers and to the platform through the proxy."""
     target_processes: int = 1
     journal: bool = True
     seed: int = 1
     settings: dict[str, dict[str, str]] = attrs.field(factory=dict)
-    """Further settings of every daemon, by section."""
+    """Additional settings of every daemon, by section."""
 
 
 @attrs.frozen
@@ -55,7 +56,7 @@
 
 @attrs.define
 class Daemon:
-    """A daemon and where it listens."""
+    """A daemon, its listening ports and its settings file."""
 
     name: str
     host: str
@@ -68,32 +69,32 @@
 
 
 class FleetError(Exception):
-    """A process did not come up, or a call to it failed."""
+    """A process did not start or stop in time, or a call to it failed."""
 
 
-_reserved: list[socket.socket] = []
-"""Sockets that keep the ports given out, until this process ends."""
+_reserved_sockets: list[socket.socket] = []
+"""Bound sockets that hold the reserved ports until this process ends."""
 
 
 def reserve_ports(count: int) -> list[int]:
     """
-    Find ports that are free on loopback and keep them for processes of this one's fleets.
+    Reserve free loopback ports for the fleets of this process.
 
-    Below the range that the system takes source ports from: one of those may become the source of
-    somebody's connection before the process that it was meant for listens there. Each port stays
-    bound here, not listening: nobody who looks for a free one is given it as well, while a server
-    that allows addresses to be used again, as the event loops do by default, can listen on it.
+    The ports lie below the ephemeral range: a port from it could become the source port of another
+    connection before the intended process listens on it. Each port stays bound here without
+    listening, so that no other search for a free port finds it, while a server that sets
+    ``SO_REUSEADDR``, as asyncio does by default, can still listen on it.
     """
     ports: list[int] = []
     while len(ports) < count:
-        port = random.SystemRandom().randrange(*_PORTS)
-        probe = socket.socket()
+        port = random.SystemRandom().randrange(*_PORT_RANGE)
+        reserved_socket = socket.socket()
         try:
-            probe.bind(("", port))
+            reserved_socket.bind(("", port))
         except OSError:
-            probe.close()
+            reserved_socket.close()
             continue
-        probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        _reserved.append(probe)
+        reserved_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        _reserved_sockets.append(reserved_socket)
         ports.append(port)
     return ports
