--- a/src/turmericlug_lab/fleet.py
+++ b/src/turmericlug_lab/fleet.py
@@ -1,4 +1,4 @@
-"""Starts and ends real processes on loopback: stand-ins, proxy and daemons."""
+"""Starts and stops a fleet of real processes on loopback: stand-ins, proxy and daemons."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 TOKEN = "operators-token-of-the-stand-in-fleet"
 CLUSTER_KEY = "cluster-key-of-the-stand-in-fleet"
-_START_LIMIT_S = 30.0
+_START_TIMEOUT_S = 30.0
 
 
 class Fleet:
-    """The running processes, by name, and calls to them."""
+    """The processes of a fleet by name, and requests to them."""
 
     def __init__(
         self, spec: fleet_spec.FleetSpec, folder: pathlib.Path, http: aiohttp.ClientSession
@@ -42,21 +42,25 @@
         self._routes: list[dict[str, typing.Any]] = []
 
     def launch(self, name: str, program: str, *arguments: str) -> None:
-        """Start a program of this project; its output goes to a log in the folder."""
+        """Start a program of this project; its output is appended to ``NAME.log`` in the folder."""
         command = [sys.executable, "-P", "-c", _LAUNCHER[program], *arguments]
-        with (self.folder / f"{name}.log").open("ab") as log:
+        with (self.folder / f"{name}.log").open("ab") as log_file:
             process = subprocess.Popen(
-                command, stdout=log, stderr=log, stdin=subprocess.DEVNULL, start_new_session=True
+                command,
+                stdout=log_file,
+                stderr=log_file,
+                stdin=subprocess.DEVNULL,
+                start_new_session=True,
             )
         self.processes[name] = process
 
     async def start(self) -> None:
-        """Start everything and wait until all daemons are ready."""
+        """Start all processes, wait until every daemon is ready and load the catalogue."""
         self.launch("platform", "standin", "platform", "--port", str(self.platform_port))
-        self._plan_targets()
-        self._start_targets()
+        self._prepare_targets()
+        self._start_target_processes()
         await self.wait_responding(f"http://127.0.0.1:{self.platform_port}/control")
-        self._plan_daemons()
+        self._prepare_daemons()
         if self._routes:
             path = self.folder / "proxy.json"
             path.write_text(json.dumps(self._routes))
@@ -73,80 +77,84 @@
             return
         for daemon in self.daemons.values():
             await self.wait_all_alive(daemon.name)
-        first = next(iter(self.daemons))
-        status, answer = await self.call_operators_api(first, "PUT", "/v1/catalog", self.catalog())
+        first_daemon = next(iter(self.daemons))
+        status, answer = await self.call_operators_api(
+            first_daemon, "PUT", "/v1/catalog", self.catalog()
+        )
         if status not in (200, 202):
-            raise fleet_spec.FleetError(f"catalogue: {answer}")
+            raise fleet_spec.FleetError(f"the first daemon refused the catalogue: {answer}")
 
-    def _plan_targets(self) -> None:
+    def _prepare_targets(self) -> None:
         count = sum(service.replicas for service in self.spec.services)
         ports = iter(fleet_spec.reserve_ports(count))
         for index, service in enumerate(self.spec.services):
-            for number in range(service.replicas):
-                name = f"{service.name}-r{number}"
-                process = f"targets-{(index + number) % self.spec.target_processes}"
-                centre = self.centre_of(index)
+            for replica_index in range(service.replicas):
+                name = f"{service.name}-r{replica_index}"
+                process_name = f"targets-{(index + replica_index) % self.spec.target_processes}"
+                data_centre = self.data_centre_of(index)
                 self.targets[name] = fleet_spec.Target(
-                    name, service.name, next(ports), centre, process
+                    name, service.name, next(ports), data_centre, process_name
                 )
 
-    def centre_of(self, service_index: int) -> str:
-        """Return the data centre of a service's replicas: the services take turns."""
+    def data_centre_of(self, service_index: int) -> str:
+        """Return the data centre of a service's replicas; data centres are assigned round-robin."""
         return self.spec.data_centres[service_index % len(self.spec.data_centres)]
 
-    def _start_targets(self) -> None:
-        by_process = collections.defaultdict(list)
+    def _start_target_processes(self) -> None:
+        specs_by_process = collections.defaultdict(list)
         services = {service.name: service for service in self.spec.services}
         for target in self.targets.values():
             service = services[target.service]
-            plain = attrs.asdict(service)
-            del plain["replicas"]
-            plain |= {"name": target.name, "service": service.name, "port": target.port}
-            by_process[target.process].append(plain)
-        for process, specs in by_process.items():
-            (self.folder / f"{process}.json").write_text(json.dumps(specs))
-            self.start_targets(process)
-
-    def start_targets(self, process: str) -> None:
-        """Start one process of stand-in targets, also again after a kill."""
-        arguments = ["targets", str(self.folder / f"{process}.json")]
+            replica_spec = attrs.asdict(service)
+            del replica_spec["replicas"]
+            replica_spec |= {"name": target.name, "service": service.name, "port": target.port}
+            specs_by_process[target.process].append(replica_spec)
+        for process_name, specs in specs_by_process.items():
+            (self.folder / f"{process_name}.json").write_text(json.dumps(specs))
+            self.start_target_process(process_name)
+
+    def start_target_process(self, process_name: str) -> None:
+        """Start, or restart after a kill, one process of stand-in targets."""
+        arguments = ["targets", str(self.folder / f"{process_name}.json")]
         arguments += ["--seed", str(self.spec.seed)]
         if self.spec.journal:
-            arguments += ["--journal", str(self.folder / f"{process}.journal")]
-        self.launch(process, "standin", *arguments)
+            arguments += ["--journal", str(self.folder / f"{process_name}.journal")]
+        self.launch(process_name, "standin", *arguments)
 
-    def _plan_daemons(self) -> None:
+    def _prepare_daemons(self) -> None:
         for index in range(self.spec.daemons):
-            self._plan_daemon(index)
+            self._prepare_daemon(index)
 
-    def _plan_daemon(self, index: int) -> fleet_spec.Daemon:
+    def _prepare_daemon(self, index: int) -> fleet_spec.Daemon:
         name = f"e{index + 1}"
-        callers, peers, operators, via_proxy, platform = fleet_spec.reserve_ports(5)
-        centre = self.spec.data_centres[index % len(self.spec.data_centres)]
+        callers_port, peers_port, operators_port, peers_proxy_port, platform_proxy_port = (
+            fleet_spec.reserve_ports(5)
+        )
+        data_centre = self.spec.data_centres[index % len(self.spec.data_centres)]
         proxied = self.spec.proxied or bool(self.spec.delay_ms)
         daemon = fleet_spec.Daemon(
             name=name,
             host=f"127.0.1.{index + 1}",
-            data_centre=centre,
-            callers_port=callers,
-            peers_port=peers,
-            operators_port=operators,
-            advertised_peers_port=via_proxy if proxied else peers,
+            data_centre=data_centre,
+            callers_port=callers_port,
+            peers_port=peers_port,
+            operators_port=operators_port,
+            advertised_peers_port=peers_proxy_port if proxied else peers_port,
             settings_file=self.folder / f"{name}.ini",
         )
         if proxied:
-            self._add_routes(daemon, platform)
+            self._add_routes(daemon, platform_proxy_port)
         self.daemons[name] = daemon
-        self._write_settings(daemon, platform if proxied else self.platform_port)
+        self._write_settings(daemon, platform_proxy_port if proxied else self.platform_port)
         return daemon
 
-    def _add_routes(self, daemon: fleet_spec.Daemon, platform_port: int) -> None:
+    def _add_routes(self, daemon: fleet_spec.Daemon, platform_proxy_port: int) -> None:
         delays = {
-            f"127.0.1.{number + 1}": self.spec.delay_ms.get(
-                (self.spec.data_centres[number % len(self.spec.data_centres)], daemon.data_centre),
+            f"127.0.1.{index + 1}": self.spec.delay_ms.get(
+                (self.spec.data_centres[index % len(self.spec.data_centres)], daemon.data_centre),
                 0.0,
             )
-            for number in range(self.spec.daemons + 4)
+            for index in range(self.spec.daemons + 4)
         }
         self._routes.append(
             {
@@ -160,7 +168,7 @@
         self._routes.append(
             {
                 "name": f"platform-{daemon.name}",
-                "listen": platform_port,
+                "listen": platform_proxy_port,
                 "to": self.platform_port,
             }
         )
@@ -193,19 +201,19 @@
             parser.write(stream)
 
     def start_daemon(self, name: str) -> None:
-        """Start a daemon, also again after it stopped."""
+        """Start, or restart, a daemon."""
         self.launch(name, "daemon", str(self.daemons[name].settings_file))
 
     def catalog(
         self, snapshots: list[dict[str, typing.Any]] | None = None
     ) -> dict[str, typing.Any]:
-        """Make the catalogue of the fleet."""
+        """Return the fleet's catalogue."""
         return {
             "services": {
                 service.name: {
                     "slots": service.slots,
                     "connections": service.connections,
-                    "data_centre": self.centre_of(index),
+                    "data_centre": self.data_centre_of(index),
                 }
                 for index, service in enumerate(self.spec.services)
             },
@@ -214,136 +222,145 @@
         }
 
     async def register(self, target: str, status: str = "passing") -> None:
-        """Put a target on the instance list; ``critical`` means leaving."""
-        each = self.targets[target]
-        await self._list(each.service, each.name, "127.0.0.1", each.port, each.data_centre, status)
+        """Register a target on the instance list; status ``critical`` marks it as leaving."""
+        replica = self.targets[target]
+        await self._put_registration(
+            replica.service, replica.name, "127.0.0.1", replica.port, replica.data_centre, status
+        )
 
     async def register_daemon(self, name: str) -> None:
-        """Put a daemon on the instance list."""
-        each = self.daemons[name]
-        proxied = each.advertised_peers_port != each.peers_port
-        host = "127.0.0.1" if proxied else each.host
-        await self._list(
-            "turmericlug", name, host, each.advertised_peers_port, each.data_centre, "passing"
+        """Register a daemon on the instance list."""
+        daemon = self.daemons[name]
+        proxied = daemon.advertised_peers_port != daemon.peers_port
+        host = "127.0.0.1" if proxied else daemon.host
+        await self._put_registration(
+            "turmericlug", name, host, daemon.advertised_peers_port, daemon.data_centre, "passing"
         )
 
-    async def _list(
-        self, service: str, name: str, host: str, port: int, centre: str, status: str
+    async def _put_registration(
+        self, service: str, name: str, host: str, port: int, data_centre: str, status: str
     ) -> None:
-        entry = {"ID": name, "Service": service, "Address": host, "Port": port}
-        plain = {"Node": name, "Datacenter": centre, "Service": entry, "Check": {"Status": status}}
+        service_entry = {"ID": name, "Service": service, "Address": host, "Port": port}
+        registration = {
+            "Node": name,
+            "Datacenter": data_centre,
+            "Service": service_entry,
+            "Check": {"Status": status},
+        }
         url = f"http://127.0.0.1:{self.platform_port}/v1/catalog/register"
-        async with self.http.put(url, json=plain) as response:
+        async with self.http.put(url, json=registration) as response:
             response.raise_for_status()
 
     async def unregister(self, name: str) -> None:
-        """Take an instance off the list."""
+        """Remove an instance from the instance list."""
         url = f"http://127.0.0.1:{self.platform_port}/v1/catalog/deregister"
         async with self.http.put(url, json={"Node": name, "ServiceID": name}) as response:
             response.raise_for_status()
 
     async def wait_responding(self, url: str) -> None:
-        """Wait until something answers under an address."""
-        end_s = time.monotonic() + _START_LIMIT_S
-        while time.monotonic() < end_s:
+        """Wait until a URL responds with status 200."""
+        deadline_s = time.monotonic() + _START_TIMEOUT_S
+        while time.monotonic() < deadline_s:
             with contextlib.suppress(aiohttp.ClientError, OSError):
                 async with self.http.get(url) as response:
                     if response.status == 200:
                         return
             await asyncio.sleep(0.03)
-        raise fleet_spec.FleetError(f"{url} does not answer")
+        raise fleet_spec.FleetError(f"{url} did not respond with 200 within the start timeout")
 
     async def wait_ready(self, name: str) -> None:
-        """Wait until a daemon serves callers; tells the end of its log if it does not."""
+        """Wait until a daemon serves callers; otherwise raise an error with the end of its log."""
         daemon = self.daemons[name]
         try:
             await self.wait_responding(f"http://{daemon.host}:{daemon.callers_port}/v1/ready")
         except fleet_spec.FleetError as error:
-            ended = self.processes[name].poll()
-            last = (self.folder / f"{name}.log").read_text()[-1500:]
-            raise fleet_spec.FleetError(f"{error}; exit code {ended}; log: {last}") from error
+            exit_code = self.processes[name].poll()
+            log_tail = (self.folder / f"{name}.log").read_text()[-1500:]
+            raise fleet_spec.FleetError(
+                f"{error}; exit code {exit_code}; log: {log_tail}"
+            ) from error
 
     async def wait_all_alive(self, name: str) -> None:
-        """Wait until a daemon holds every daemon for alive."""
-        end_s = time.monotonic() + _START_LIMIT_S
-        while time.monotonic() < end_s:
+        """Wait until a daemon considers every daemon alive."""
+        deadline_s = time.monotonic() + _START_TIMEOUT_S
+        while time.monotonic() < deadline_s:
             states = await self.members(name)
             if sum(state == "alive" for state in states.values()) == len(self.daemons):
                 return
             await asyncio.sleep(0.03)
-        raise fleet_spec.FleetError(f"{name} does not see all others")
+        raise fleet_spec.FleetError(f"{name} did not see all daemons alive in the start timeout")
 
     async def members(self, name: str) -> dict[str, str]:
-        """Return what a daemon believes of each instance."""
+        """Return the state of each instance as a daemon sees it."""
         _, status = await self.call_operators_api(name, "GET", "/v1/status?own")
         return status["instances"][0]["members"]
 
     async def query(
         self, name: str, headers: dict[str, str] | None = None, **fields: typing.Any
     ) -> tuple[int, dict[str, typing.Any]]:
-        """Run a query through a daemon; returns the status and the answer."""
+        """Send a query to a daemon; return the status and the answer."""
         daemon = self.daemons[name]
         url = f"http://{daemon.host}:{daemon.callers_port}/v1/query"
-        plain = {"caller": "tests", **fields}
-        async with self.http.post(url, json=plain, headers=headers) as response:
+        body = {"caller": "tests", **fields}
+        async with self.http.post(url, json=body, headers=headers) as response:
             return response.status, await response.json()
 
     async def call_operators_api(
-        self, name: str, method: str, path: str, plain: typing.Any = None
+        self, name: str, method: str, path: str, body: typing.Any = None
     ) -> tuple[int, dict[str, typing.Any]]:
-        """Call a daemon's operators' port."""
+        """Send a request to a daemon's operators' port; return the status and the answer."""
         daemon = self.daemons[name]
         url = f"http://{daemon.host}:{daemon.operators_port}{path}"
         headers = {"Authorization": f"Bearer {TOKEN}"}
-        async with self.http.request(method, url, json=plain, headers=headers) as response:
+        async with self.http.request(method, url, json=body, headers=headers) as response:
             return response.status, await response.json()
 
-    async def control(self, where: str, **fields: typing.Any) -> None:
-        """Change how a target (by name), the ``platform`` or a ``proxy/ROUTE`` behaves."""
-        if where == "platform":
+    async def control(self, component: str, **fields: typing.Any) -> None:
+        """Change the behaviour of a target (by name), the ``platform`` or a ``proxy/ROUTE``."""
+        if component == "platform":
             url = f"http://127.0.0.1:{self.platform_port}/control"
-        elif where.startswith("proxy/"):
-            url = f"http://127.0.0.1:{self.proxy_port}/control/{where.removeprefix('proxy/')}"
+        elif component.startswith("proxy/"):
+            url = f"http://127.0.0.1:{self.proxy_port}/control/{component.removeprefix('proxy/')}"
         else:
-            url = f"http://127.0.0.1:{self.targets[where].port}/control"
+            url = f"http://127.0.0.1:{self.targets[component].port}/control"
         async with self.http.post(url, json=fields) as response:
             response.raise_for_status()
 
-    async def stats(self, where: str) -> dict[str, typing.Any]:
-        """Read a stand-in's own numbers."""
-        port = self.platform_port if where == "platform" else self.targets[where].port
+    async def stats(self, component: str) -> dict[str, typing.Any]:
+        """Return the statistics of a target (by name) or of the ``platform``."""
+        port = self.platform_port if component == "platform" else self.targets[component].port
         async with self.http.get(f"http://127.0.0.1:{port}/control") as response:
             return await response.json()
 
-    def signal(self, name: str, number: signal.Signals) -> None:
+    def signal(self, name: str, signal_number: signal.Signals) -> None:
         """Send a signal to a process that this fleet started."""
-        os.kill(self.processes[name].pid, number)
+        os.kill(self.processes[name].pid, signal_number)
 
-    async def wait_exit(self, name: str, limit_s: float = 60.0) -> int:
-        """Wait for a process to end; returns its exit code."""
+    async def wait_exit(self, name: str, timeout_s: float = 60.0) -> int:
+        """Wait for a process to exit; return its exit code."""
         process = self.processes[name]
-        end_s = time.monotonic() + limit_s
+        deadline_s = time.monotonic() + timeout_s
         while process.poll() is None:
-            if time.monotonic() > end_s:
-                raise fleet_spec.FleetError(f"{name} does not stop")
+            if time.monotonic() > deadline_s:
+                raise fleet_spec.FleetError(f"{name} did not exit within the timeout")
             await asyncio.sleep(0.02)
         return process.returncode
 
     def journal(self) -> list[dict[str, typing.Any]]:
-        """Read what all targets wrote to their journals."""
+        """Return the entries of all targets' journals."""
         lines = []
         for path in sorted(self.folder.glob("*.journal")):
-            # A killed process may leave half a line at the end.
+            # A killed process may leave a partial last line.
             lines += [line for line in path.read_text().splitlines() if line.endswith("}")]
         return [json.loads(line) for line in lines]
 
     def log(self, name: str) -> list[dict[str, typing.Any]]:
-        """Read a daemon's log."""
+        """Return the JSON lines of a daemon's log."""
         lines = (self.folder / f"{name}.log").read_text().splitlines()
         return [json.loads(line) for line in lines if line.startswith("{")]
 
     async def stop(self) -> None:
-        """End every process: daemons gracefully, what does not follow by force."""
+        """Resume and terminate the daemons, then kill what is still running."""
         for name, process in self.processes.items():
             if process.poll() is None:
                 if name not in self.daemons:
@@ -368,7 +385,7 @@
 
 @contextlib.asynccontextmanager
 async def running(spec: fleet_spec.FleetSpec, folder: pathlib.Path) -> abc.AsyncIterator[Fleet]:
-    """Run a fleet for the length of the block."""
+    """Run a fleet for the duration of the ``with`` block."""
     timeout = aiohttp.ClientTimeout(total=60)
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(timeout=timeout, connector=connector) as http:
