--- a/src/turmericlug_lab/standin.py
+++ b/src/turmericlug_lab/standin.py
@@ -20,22 +20,22 @@
     no_args_is_help=True,
 )
 
-Host = typing.Annotated[str, typer.Option(help="Loopback IP number to listen on.")]
+Host = typing.Annotated[str, typer.Option(help="Loopback IP address to listen on.")]
 Port = typing.Annotated[int, typer.Option(help="Port to listen on.")]
 SpecFile = typing.Annotated[pathlib.Path, typer.Argument(help="JSON file, a list of objects.")]
 
 
-def _run(work: typing.Coroutine[typing.Any, typing.Any, None]) -> None:
+def _run(coroutine: typing.Coroutine[typing.Any, typing.Any, None]) -> None:
     try:
         with aiomisc.entrypoint(log_config=False) as loop:
-            loop.run_until_complete(work)
+            loop.run_until_complete(coroutine)
     except (KeyboardInterrupt, asyncio.CancelledError):
         pass
 
 
-def _specs(path: pathlib.Path, kind: type) -> list[typing.Any]:
+def _read_specs(path: pathlib.Path, spec_class: type) -> list[typing.Any]:
     try:
-        return [kind(**item) for item in json.loads(path.read_text())]
+        return [spec_class(**fields) for fields in json.loads(path.read_text())]
     except (OSError, ValueError, TypeError) as error:
         typer.echo(f"{path}: {error}", err=True)
         raise typer.Exit(2) from error
@@ -46,31 +46,31 @@
     specs: SpecFile,
     host: Host = "127.0.0.1",
     journal: typing.Annotated[
-        pathlib.Path | None, typer.Option(help="File that every run is written to.")
+        pathlib.Path | None, typer.Option(help="File to append every run to.")
     ] = None,
-    seed: typing.Annotated[int, typer.Option(help="Seed of the service times.")] = 1,
+    seed: typing.Annotated[int, typer.Option(help="Random seed of the service times.")] = 1,
 ) -> None:
-    """Stand in for replicas: name, service, port, slots, connections, connect_ms, behaviour."""
-    _run(standin_target.serve(_specs(specs, standin_target.Spec), host, journal, seed))
+    """Run stand-in replicas (name, service, port, slots, connections, connect_ms, behaviour)."""
+    _run(standin_target.serve(_read_specs(specs, standin_target.Spec), host, journal, seed))
 
 
 @application.command()
 def platform(port: Port, host: Host = "127.0.0.1") -> None:
-    """Stand in for the key-value store and the instance list."""
+    """Run a stand-in for the key-value store and the instance list."""
     _run(standin_platform.serve(host, port))
 
 
 @application.command()
 def proxy(specs: SpecFile, port: Port, host: Host = "127.0.0.1") -> None:
     """Proxy TCP routes (name, listen, to, delay_ms); POST /control/NAME on PORT injects faults."""
-    _run(standin_proxy.serve(host, _specs(specs, standin_proxy.Route), port))
+    _run(standin_proxy.serve(host, _read_specs(specs, standin_proxy.Route), port))
 
 
 @application.command()
 def baseline(
     spec: typing.Annotated[pathlib.Path, typer.Argument(help="JSON file of one instance.")],
 ) -> None:
-    """Run an entry instance of the baseline that experiments compare with."""
+    """Run an entry instance of the baseline that experiments are compared with."""
     _run(baseline_module.serve(json.loads(spec.read_text())))
 
 
@@ -79,12 +79,12 @@
     version: version_module.Option = False,
 ) -> None:
     """
-    Stand in for targets, the platform and a faulty network; all listen on loopback.
+    Run stand-ins for targets, the platform or a faulty network; all listen on loopback.
 
-    Exit codes: 0 stopped, 1 it could not run, 2 wrong usage or a file that can't be used.
+    Exit codes: 0 stopped, 1 failed to run, 2 wrong usage or an unusable file.
     """
 
 
 def run() -> None:
-    """Start the program."""
+    """Run the command line."""
     application()
