--- a/src/turmericlug_lab/standin_proxy.py
+++ b/src/turmericlug_lab/standin_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy that injects faults between daemons, targets and the platform."""
+"""TCP proxy that injects faults between daemons, targets and the platform."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.define
 class Route:
-    """One listening port and where it leads; a control call changes it while it runs."""
+    """A listening port, its upstream address and its faults, which control requests change."""
 
     name: str
     listen: int
@@ -22,21 +22,21 @@
     to_host: str = "127.0.0.1"
     delay_ms: float = 0.0
     mode: str = "pass"
-    """``pass``, ``refuse`` new and end old connections, or ``hang``: accept and pass nothing."""
+    """``pass``, ``refuse`` (close new and open connections) or ``hang`` (forward nothing)."""
     one_way: str = ""
-    """``up`` or ``down``: hang only in this direction."""
+    """Hang only in this direction: ``up`` (to the server) or ``down`` (to the client)."""
     duplicate: bool = False
-    """Send each piece towards the server twice."""
+    """Send each chunk to the server twice."""
     blocked_sources: list[str] = attrs.field(factory=list)
-    """IP numbers whose connections hang."""
+    """Client IP addresses whose connections hang."""
     delay_ms_by_source: dict[str, float] = attrs.field(factory=dict)
-    """One-way delays that go before ``delay_ms``, by the client's IP number."""
+    """One-way delays by client IP address; they take precedence over ``delay_ms``."""
     truncate_after: int = -1
-    """End a connection after this many bytes towards the client."""
+    """Close a connection after this many bytes to the client; negative: no limit."""
 
 
 class Proxy:
-    """The routes and what flows on them."""
+    """Serves the routes and tracks their connections."""
 
     def __init__(self, host: str, routes: list[Route]) -> None:
         self._host = host
@@ -51,7 +51,7 @@
             self._listeners.append(listener)
 
     def close(self) -> None:
-        """Listen no more and end every connection."""
+        """Stop listening and close every connection."""
         for listener in self._listeners:
             listener.close()
         for task in list(self._tasks):
@@ -63,7 +63,7 @@
             self._tasks[task] = route.name
             try:
                 if route.mode != "refuse":
-                    await self._carry(route, reader, writer)
+                    await self._relay(route, reader, writer)
             except (OSError, asyncio.CancelledError):
                 pass
             finally:
@@ -72,66 +72,70 @@
 
         return handle
 
-    async def _carry(
+    async def _relay(
         self, route: Route, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         source = writer.get_extra_info("peername")[0]
-        up_reader, up_writer = await asyncio.open_connection(route.to_host, route.to)
+        upstream_reader, upstream_writer = await asyncio.open_connection(route.to_host, route.to)
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pump(route, source, reader, up_writer, "up"))
-                group.create_task(self._pump(route, source, up_reader, writer, "down"))
+                group.create_task(self._forward(route, source, reader, upstream_writer, "up"))
+                group.create_task(self._forward(route, source, upstream_reader, writer, "down"))
         except* (OSError, ConnectionError):
             pass
         finally:
-            up_writer.transport.abort()
+            upstream_writer.transport.abort()
 
-    async def _pump(
+    async def _forward(
         self,
         route: Route,
         source: str,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        way: str,
+        direction: str,
     ) -> None:
-        passed = 0
+        forwarded_bytes = 0
         loop = asyncio.get_running_loop()
-        while data := await reader.read(_READ_BYTES):
-            while route.mode == "hang" or route.one_way == way or source in route.blocked_sources:
+        while chunk := await reader.read(_READ_BYTES):
+            while (
+                route.mode == "hang"
+                or route.one_way == direction
+                or source in route.blocked_sources
+            ):
                 await asyncio.sleep(0.02)
-            if way == "down" and 0 <= route.truncate_after < passed + len(data):
-                writer.write(data[: route.truncate_after - passed])
+            if direction == "down" and 0 <= route.truncate_after < forwarded_bytes + len(chunk):
+                writer.write(chunk[: route.truncate_after - forwarded_bytes])
                 await writer.drain()
                 break
-            passed += len(data)
-            copies = 2 if route.duplicate and way == "up" else 1
+            forwarded_bytes += len(chunk)
+            copies = 2 if route.duplicate and direction == "up" else 1
             delay_ms = route.delay_ms_by_source.get(source, route.delay_ms)
             if delay_ms:
-                loop.call_later(delay_ms / 1000, _write, writer, data * copies)
+                loop.call_later(delay_ms / 1000, _write_if_open, writer, chunk * copies)
             else:
-                writer.write(data * copies)
+                writer.write(chunk * copies)
                 await writer.drain()
         raise ConnectionResetError
 
     def update_route(self, name: str, fields: dict[str, typing.Any]) -> None:
-        """Change a route; one that refuses also ends the connections it has."""
+        """Set fields of a route; mode ``refuse`` also closes its open connections."""
         route = self.routes[name]
-        for key, value in fields.items():
-            setattr(route, key, value)
+        for field_name, value in fields.items():
+            setattr(route, field_name, value)
         if route.mode == "refuse":
-            for task, owner in list(self._tasks.items()):
-                if owner == name:
+            for task, route_name in list(self._tasks.items()):
+                if route_name == name:
                     task.cancel()
 
 
-def _write(writer: asyncio.StreamWriter, data: bytes) -> None:
+def _write_if_open(writer: asyncio.StreamWriter, data: bytes) -> None:
     with contextlib.suppress(OSError, RuntimeError):
         if not writer.transport.is_closing():
             writer.write(data)
 
 
 async def serve(host: str, routes: list[Route], control_port: int) -> None:
-    """Proxy until cancelled; ``POST /control/NAME`` changes a route."""
+    """Run the proxy until cancelled; ``POST /control/NAME`` sets fields of a route."""
     proxy = Proxy(host, routes)
     await proxy.start()
 
