--- a/src/turmericlug_lab/__init__.py
+++ b/src/turmericlug_lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what surrounds the daemons, and the load and experiment tool."""
+"""Stand-ins for the systems around the daemons, and the load and experiment tool."""
--- a/src/turmericlug_lab/profiles.py
+++ b/src/turmericlug_lab/profiles.py
@@ -1,4 +1,4 @@
-"""The users' systems at the sizes of the brief, as fleets of stand-ins."""
+"""The users' systems at their specified sizes, as fleets of stand-ins."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class Profile:
-    """Services and delays of one user."""
+    """Services, data centres and network delay of one user's system."""
 
     services: tuple[fleet_spec.ServiceSpec, ...]
     groups: dict[str, list[str]]
@@ -21,8 +21,8 @@
     """One-way delay between two data centres."""
 
 
-def _fan(name: str, count: int) -> tuple[fleet_spec.ServiceSpec, ...]:
-    return tuple(_service(f"{name}-{number:02d}", 2, 2, 25, 6.0) for number in range(count))
+def _group_services(group: str, size: int) -> tuple[fleet_spec.ServiceSpec, ...]:
+    return tuple(_service(f"{group}-{index:02d}", 2, 2, 25, 6.0) for index in range(size))
 
 
 def _service(
@@ -33,16 +33,19 @@
 
 
 def _profile(
-    fans: dict[str, int],
-    singles: tuple[fleet_spec.ServiceSpec, ...],
+    group_sizes: dict[str, int],
+    ungrouped_services: tuple[fleet_spec.ServiceSpec, ...],
     data_centres: tuple[str, ...],
     delay_ms: float,
 ) -> Profile:
-    services = tuple(service for name, count in fans.items() for service in _fan(name, count))
+    services = tuple(
+        service for group, size in group_sizes.items() for service in _group_services(group, size)
+    )
     groups = {
-        name: [f"{name}-{number:02d}" for number in range(count)] for name, count in fans.items()
+        group: [f"{group}-{index:02d}" for index in range(size)]
+        for group, size in group_sizes.items()
     }
-    return Profile(services + singles, groups, data_centres, delay_ms)
+    return Profile(services + ungrouped_services, groups, data_centres, delay_ms)
 
 
 PROFILES = {
@@ -62,9 +65,9 @@
 
 
 def saturation_rate_per_s(profile: Profile, group: str) -> float:
-    """Return how many queries a second keep every slot of a group's busiest service at work."""
-    names = profile.groups.get(group, [group])
-    services = [service for service in profile.services if service.name in names]
-    # The log-normal's mean lies above its median, which is what service_ms sets.
+    """Return the query rate that saturates the smallest service of a group, or a single service."""
+    service_names = profile.groups.get(group, [group])
+    services = [service for service in profile.services if service.name in service_names]
+    # service_ms sets the median of the log-normal distribution; its mean is higher.
     mean_s = MEDIAN_SERVICE_MS / 1000 * 2.718281828 ** (SERVICE_TIME_SIGMA**2 / 2)
     return min(service.replicas * service.slots for service in services) / mean_s
