--- a/src/turmericlug_lab/demo.py
+++ b/src/turmericlug_lab/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a small fleet, one rule, one query, one request that must not repeat."""
+"""Demonstration of a small fleet: a query without and with a rule, then a deduplicated request."""
 
 from __future__ import annotations
 
@@ -28,41 +28,41 @@
 then_priority = 8
 """
 _SERVICES = (
-    *(fleet_spec.ServiceSpec(f"devis-{n:02d}", 2, 2, 25, 6.0) for n in range(6)),
+    *(fleet_spec.ServiceSpec(f"devis-{index:02d}", 2, 2, 25, 6.0) for index in range(6)),
     fleet_spec.ServiceSpec("billing", 2, 4, 45, 1.0),
 )
 
 
-async def play(folder: pathlib.Path) -> None:
-    """Run the demonstration and print it."""
+async def run_demo(folder: pathlib.Path) -> None:
+    """Run the demonstration and print its steps; exit with 1 if a daemon fails."""
     spec = fleet_spec.FleetSpec(
-        services=_SERVICES, groups={"devis": [each.name for each in _SERVICES[:6]]}
+        services=_SERVICES, groups={"devis": [service.name for service in _SERVICES[:6]]}
     )
     typer.secho("starting a platform, 14 targets and three daemons on loopback", bold=True)
     async with fleet_module.running(spec, folder) as fleet:
         await _show_query(fleet, "a devis query before there is any rule")
-        _operate(fleet, "rules", "add", "-", given=_RULE)
-        _operate(fleet, "rules", "list")
-        explain = ("--service", "devis", "--caller", "dispatch-3")
-        _operate(fleet, "rules", "explain", *explain)
+        _run_operators_client(fleet, "rules", "add", "-", stdin=_RULE)
+        _run_operators_client(fleet, "rules", "list")
+        query_options = ("--service", "devis", "--caller", "dispatch-3")
+        _run_operators_client(fleet, "rules", "explain", *query_options)
         await _show_query(fleet, "the same query: the rule decides now")
-        await _show_once(fleet)
-        _operate(fleet, "status")
+        await _show_deduplication(fleet)
+        _run_operators_client(fleet, "status")
         typer.secho("\nstopping all daemons gracefully", bold=True)
-    codes = {name: fleet.processes[name].returncode for name in fleet.daemons}
-    typer.echo(f"exit codes: {codes}")
-    if any(codes.values()):
+    exit_codes = {name: fleet.processes[name].returncode for name in fleet.daemons}
+    typer.echo(f"exit codes: {exit_codes}")
+    if any(exit_codes.values()):
         raise typer.Exit(1)
 
 
 async def _show_query(fleet: fleet_module.Fleet, title: str) -> None:
     typer.secho(f"\n{title}", bold=True)
-    began_at_s = time.monotonic()
+    started_at_s = time.monotonic()
     status, answer = await fleet.query(
         "e1", service="devis", caller="dispatch-3", body={"roof_m2": 140}
     )
-    took_ms = (time.monotonic() - began_at_s) * 1000
-    typer.echo(f"status {status} after {took_ms:.0f} ms")
+    elapsed_ms = (time.monotonic() - started_at_s) * 1000
+    typer.echo(f"status {status} after {elapsed_ms:.0f} ms")
     _print_answer(answer)
 
 
@@ -73,16 +73,20 @@
         f"{answer.get('snapshot', '-')}, by rule {answer['rule'] or '(none)'} "
         f"of revision {answer['rules_revision']}"
     )
-    for item in answer.get("results", [])[:3]:
-        typer.echo(f"  {item['shard']}: {item['result']}")
+    for result in answer.get("results", [])[:3]:
+        typer.echo(f"  {result['shard']}: {result['result']}")
 
 
-async def _show_once(fleet: fleet_module.Fleet) -> None:
+async def _show_deduplication(fleet: fleet_module.Fleet) -> None:
     typer.secho("\na bill that must not be sent twice, asked for on two instances", bold=True)
-    key = f"{int(time.time())}-bill-17"
+    idempotency_key = f"{int(time.time())}-bill-17"
     for name in ("e1", "e3"):
         status, answer = await fleet.query(
-            name, service="billing", caller="office", body={"bill": 17}, idempotency_key=key
+            name,
+            service="billing",
+            caller="office",
+            body={"bill": 17},
+            idempotency_key=idempotency_key,
         )
         typer.echo(f"through {name}: status {status}")
         _print_answer(answer)
@@ -90,8 +94,8 @@
     typer.echo(f"runs in the targets' journal: {sum('bill' in line['body'] for line in runs)}")
 
 
-def _operate(fleet: fleet_module.Fleet, *arguments: str, given: str = "") -> None:
-    """Run the operators' client as a person would."""
+def _run_operators_client(fleet: fleet_module.Fleet, *arguments: str, stdin: str = "") -> None:
+    """Run the operators' command line as a separate process and print its output."""
     daemon = next(iter(fleet.daemons.values()))
     typer.secho(f"\n$ turmericlug {' '.join(arguments)}", bold=True)
     environment = os.environ | {
@@ -100,15 +104,15 @@
         "TURMERICLUG_OPERATOR": "ann",
     }
     command = [sys.executable, "-P", "-c", "from turmericlug.operators import client; client.run()"]
-    finished = subprocess.run(
-        [*command, *arguments], input=given, text=True, env=environment, capture_output=True
+    completed = subprocess.run(
+        [*command, *arguments], input=stdin, text=True, env=environment, capture_output=True
     )
-    typer.echo(finished.stdout + finished.stderr, nl=False)
-    if finished.returncode:
-        raise typer.Exit(finished.returncode)
+    typer.echo(completed.stdout + completed.stderr, nl=False)
+    if completed.returncode:
+        raise typer.Exit(completed.returncode)
 
 
 def run() -> None:
-    """Play it in a folder that is removed afterwards."""
+    """Run the demonstration in a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
-        asyncio.run(play(pathlib.Path(folder)))
+        asyncio.run(run_demo(pathlib.Path(folder)))
