--- a/src/turmericlug_lab/demo.py
+++ b/src/turmericlug_lab/demo.py
@@ -100,7 +100,7 @@
     typer.secho(f"\n$ turmericlug {' '.join(arguments)}", bold=True)
     environment = os.environ | {
         "TURMERICLUG_URL": f"http://{daemon.host}:{daemon.operators_port}",
-        "TURMERICLUG_TOKEN": fleet_module.TOKEN,
+        "TURMERICLUG_TOKEN": fleet_module.OPERATORS_TOKEN,
         "TURMERICLUG_OPERATOR": "ann",
     }
     command = [sys.executable, "-P", "-c", "from turmericlug.operators import client; client.run()"]
--- a/src/turmericlug_lab/fleet.py
+++ b/src/turmericlug_lab/fleet.py
@@ -21,7 +21,7 @@
 
 from turmericlug_lab import fleet_spec
 
-TOKEN = "operators-token-of-the-stand-in-fleet"
+OPERATORS_TOKEN = "operators-token-of-the-stand-in-fleet"
 CLUSTER_KEY = "cluster-key-of-the-stand-in-fleet"
 _START_TIMEOUT_S = 30.0
 
@@ -39,7 +39,7 @@
         self.targets: dict[str, fleet_spec.Target] = {}
         self.daemons: dict[str, fleet_spec.Daemon] = {}
         self.platform_port, self.proxy_port = fleet_spec.reserve_ports(2)
-        self._routes: list[dict[str, typing.Any]] = []
+        self._proxy_routes: list[dict[str, typing.Any]] = []
 
     def launch(self, name: str, program: str, *arguments: str) -> None:
         """Start a program of this project; its output is appended to ``NAME.log`` in the folder."""
@@ -61,9 +61,9 @@
         self._start_target_processes()
         await self.wait_responding(f"http://127.0.0.1:{self.platform_port}/control")
         self._prepare_daemons()
-        if self._routes:
+        if self._proxy_routes:
             path = self.folder / "proxy.json"
-            path.write_text(json.dumps(self._routes))
+            path.write_text(json.dumps(self._proxy_routes))
             self.launch("proxy", "standin", "proxy", str(path), "--port", str(self.proxy_port))
         for target in self.targets.values():
             await self.wait_responding(f"http://127.0.0.1:{target.port}/control")
@@ -143,12 +143,12 @@
             settings_file=self.folder / f"{name}.ini",
         )
         if proxied:
-            self._add_routes(daemon, platform_proxy_port)
+            self._add_proxy_routes(daemon, platform_proxy_port)
         self.daemons[name] = daemon
         self._write_settings(daemon, platform_proxy_port if proxied else self.platform_port)
         return daemon
 
-    def _add_routes(self, daemon: fleet_spec.Daemon, platform_proxy_port: int) -> None:
+    def _add_proxy_routes(self, daemon: fleet_spec.Daemon, platform_proxy_port: int) -> None:
         delays = {
             f"127.0.1.{index + 1}": self.spec.delay_ms.get(
                 (self.spec.data_centres[index % len(self.spec.data_centres)], daemon.data_centre),
@@ -156,7 +156,7 @@
             )
             for index in range(self.spec.daemons + 4)
         }
-        self._routes.append(
+        self._proxy_routes.append(
             {
                 "name": f"peers-{daemon.name}",
                 "listen": daemon.advertised_peers_port,
@@ -165,7 +165,7 @@
                 "delay_ms_by_source": delays,
             }
         )
-        self._routes.append(
+        self._proxy_routes.append(
             {
                 "name": f"platform-{daemon.name}",
                 "listen": platform_proxy_port,
@@ -190,7 +190,7 @@
                     "advertised_peers_port": str(daemon.advertised_peers_port),
                     "operators_port": str(daemon.operators_port),
                     "cluster_key": CLUSTER_KEY,
-                    "operators_token": TOKEN,
+                    "operators_token": OPERATORS_TOKEN,
                 },
                 "platform": {"store_url": url, "instances_url": url, "instances_poll_ms": "300"},
                 "policy": {"address_lifetime_ms": "600"},
@@ -311,7 +311,7 @@
         """Send a request to a daemon's operators' port; return the status and the answer."""
         daemon = self.daemons[name]
         url = f"http://{daemon.host}:{daemon.operators_port}{path}"
-        headers = {"Authorization": f"Bearer {TOKEN}"}
+        headers = {"Authorization": f"Bearer {OPERATORS_TOKEN}"}
         async with self.http.request(method, url, json=body, headers=headers) as response:
             return response.status, await response.json()
 
