--- a/src/turmericlug_lab/baseline.py
+++ b/src/turmericlug_lab/baseline.py
@@ -1,7 +1,8 @@
-"""The baseline to measure against: entry instances as a newcomer would write them.
+"""The baseline of experiments: entry instances with the simplest client-side load balancing.
 
 Each instance calls a random replica of each service directly, with a fixed timeout, and retries on
-an error. Nothing is known of queues, slots or other instances. It is a yardstick, not a product.
+an error. It knows nothing of queues, slots or other instances. It is a reference for measurements,
+not for production.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 
 from turmericlug.owner import target as target_module
 
-_TRIES = 2
+_MAX_ATTEMPTS = 2
 
 
-class Baseline:
-    """One baseline instance; ``services`` maps a service to its replicas' addresses."""
+class BaselineEntry:
+    """One baseline instance; ``services`` maps a service to the addresses of its replicas."""
 
     def __init__(
         self,
@@ -36,31 +37,31 @@
         self._name = name
         self._timeout_s = timeout_ms / 1000
         self._rng = random.Random(name)
-        self._count = 0
-
-    async def query(self, request: web.Request) -> web.Response:
-        """Answer a caller: ask each service, merge what came."""
-        plain = await request.json()
-        names = self._groups.get(plain["service"], [plain["service"]])
-        body = json.dumps(plain.get("body", {})).encode()
-        found = await asyncio.gather(*(self._ask(name, body) for name in names))
+        self._attempts_sent = 0
+
+    async def handle_query(self, request: web.Request) -> web.Response:
+        """Send a query to each shard and merge the results that arrive."""
+        query = await request.json()
+        shards = self._groups.get(query["service"], [query["service"]])
+        body = json.dumps(query.get("body", {})).encode()
+        shard_results = await asyncio.gather(*(self._call_service(shard, body) for shard in shards))
         results = [
-            {"shard": name, "result": result}
-            for name, result in zip(names, found, strict=True)
+            {"shard": shard, "result": result}
+            for shard, result in zip(shards, shard_results, strict=True)
             if result is not None
         ]
-        coverage = {"answered": len(results), "total": len(names), "missing": []}
-        outcome = "complete" if len(results) == len(names) else "partial"
+        coverage = {"answered": len(results), "total": len(shards), "missing": []}
+        outcome = "complete" if len(results) == len(shards) else "partial"
         if not results:
             outcome = "failed"
-        answer = {"outcome": outcome, "coverage": coverage, "results": results}
-        return web.json_response(answer, status=200 if results else 504)
+        merged = {"outcome": outcome, "coverage": coverage, "results": results}
+        return web.json_response(merged, status=200 if results else 504)
 
-    async def _ask(self, service: str, body: bytes) -> typing.Any:
-        for _ in range(_TRIES):
-            self._count += 1
+    async def _call_service(self, service: str, body: bytes) -> typing.Any:
+        for _ in range(_MAX_ATTEMPTS):
+            self._attempts_sent += 1
             headers = {
-                target_module.ATTEMPT: f"{self._name}.{self._count}",
+                target_module.ATTEMPT: f"{self._name}.{self._attempts_sent}",
                 target_module.SNAPSHOT: "s1",
                 target_module.SHARD: service,
                 target_module.DEADLINE_MS: str(int(self._timeout_s * 1000)),
@@ -78,21 +79,25 @@
         return None
 
 
-async def serve(plain: dict[str, typing.Any]) -> None:
-    """Serve one instance until cancelled: host, port, name, services, groups, timeout_ms."""
-    connector = aiohttp.TCPConnector(limit=0, limit_per_host=plain["connections"])
+async def serve(config: dict[str, typing.Any]) -> None:
+    """
+    Serve one instance until cancelled.
+
+    :param config: host, port, name, services, groups, timeout_ms, connections (limit per replica)
+    """
+    connector = aiohttp.TCPConnector(limit=0, limit_per_host=config["connections"])
     async with aiohttp.ClientSession(connector=connector) as session:
-        baseline = Baseline(
-            session, plain["services"], plain["groups"], plain["name"], plain["timeout_ms"]
+        entry = BaselineEntry(
+            session, config["services"], config["groups"], config["name"], config["timeout_ms"]
         )
 
-        async def ready(request: web.Request) -> web.Response:
+        async def handle_ready(request: web.Request) -> web.Response:
             return web.json_response({"ready": True})
 
         application = web.Application()
-        application.router.add_post("/v1/query", baseline.query)
-        application.router.add_get("/v1/ready", ready)
+        application.router.add_post("/v1/query", entry.handle_query)
+        application.router.add_get("/v1/ready", handle_ready)
         runner = web.AppRunner(application, access_log=None, handler_cancellation=True)
         await runner.setup()
-        await web.TCPSite(runner, plain["host"], plain["port"]).start()
+        await web.TCPSite(runner, config["host"], config["port"]).start()
         await asyncio.Event().wait()
