--- a/src/turmericlug_lab/load.py
+++ b/src/turmericlug_lab/load.py
@@ -63,12 +63,12 @@
             raise typer.Exit(2) from error
         for each in policy or experiment.POLICIES:
             for repeat in range(scenario.repeats):
-                reports.append(run_one(scenario, each, repeat))
-    _print(report_module.lines(reports))
+                reports.append(run_once(scenario, each, repeat))
+    _print(report_module.table_rows(reports))
     typer.echo(f"written: {report_module.write(reports, folder, name)}")
 
 
-def run_one(scenario: scenario_module.Scenario, policy: str, repeat: int) -> dict[str, typing.Any]:
+def run_once(scenario: scenario_module.Scenario, policy: str, repeat: int) -> dict[str, typing.Any]:
     """Run one scenario once, with progress on standard error."""
     if policy not in experiment.POLICIES:
         typer.echo(f"unknown policy {policy}", err=True)
@@ -131,7 +131,7 @@
     repeats: typing.Annotated[int, typer.Option(help="Runs of each scenario.")] = 1,
 ) -> None:
     """Run a short set against the baseline and fail if a bound is passed."""
-    problems = bench_module.run(run_one, repeats)
+    problems = bench_module.run(run_once, repeats)
     for problem in problems:
         typer.echo(problem, err=True)
     if problems:
--- a/src/turmericlug_lab/report.py
+++ b/src/turmericlug_lab/report.py
@@ -46,7 +46,7 @@
         raise ReportError(f"{path}: {error}") from error
 
 
-def lines(reports: list[Report]) -> list[list[str]]:
+def table_rows(reports: list[Report]) -> list[list[str]]:
     """Lay out reports as rows for people, the column names first."""
     rows = [
         ["scenario", "policy", "load", *_PERCENTILES, "p99/floor", "goodput/s", "offered/s"]
@@ -104,7 +104,7 @@
 def _page(reports: list[Report], title: str) -> str:
     table = "".join(
         "<tr>" + "".join(f"<td>{html.escape(cell)}</td>" for cell in row) + "</tr>"
-        for row in lines(reports)
+        for row in table_rows(reports)
     )
     plots = "".join(f'<img src="data:image/png;base64,{each}">' for each in _plots(reports))
     raw = html.escape(json.dumps(reports, indent=1))
