--- a/src/turmericlug_lab/experiment.py
+++ b/src/turmericlug_lab/experiment.py
@@ -211,7 +211,7 @@
 ) -> dict[str, float]:
     names = profile.groups.get(load.service, [load.service])
     replicas = next(each.replicas for each in profile.services if each.name == names[0])
-    times = floor.Times(
+    times = floor.ServiceTimes(
         scenario.targets.get("service_ms", profiles.MEAN_MS),
         scenario.targets.get("spread", profiles.SPREAD),
         scenario.targets.get("straggler_share", 0.0),
--- a/src/turmericlug_lab/generator.py
+++ b/src/turmericlug_lab/generator.py
@@ -22,8 +22,8 @@
     """What one class of callers saw."""
 
     def __init__(self) -> None:
-        self.latency = histogram.HdrHistogram(1, floor.HIGHEST_US, 3)
-        self.refusal = histogram.HdrHistogram(1, floor.HIGHEST_US, 3)
+        self.latency = histogram.HdrHistogram(1, floor.MAX_LATENCY_US, 3)
+        self.refusal = histogram.HdrHistogram(1, floor.MAX_LATENCY_US, 3)
         self.outcomes: collections.Counter[str] = collections.Counter()
         self.reasons: collections.Counter[str] = collections.Counter()
         self.offered = 0
@@ -33,15 +33,15 @@
         self.shards_answered = 0
         self.shards_total = 0
         self.entries: collections.Counter[str] = collections.Counter()
-        self.start_lag = histogram.HdrHistogram(1, floor.HIGHEST_US, 3)
+        self.start_lag = histogram.HdrHistogram(1, floor.MAX_LATENCY_US, 3)
 
     def result(self, duration_s: float) -> dict[str, typing.Any]:
         """Return the numbers of the report."""
         return {
             "offered": self.offered,
             "asked": self.asked,
-            "latency_ms": floor.read_ms(self.latency),
-            "refusal_ms": floor.read_ms(self.refusal),
+            "latency_ms": floor.report_percentiles_ms(self.latency),
+            "refusal_ms": floor.report_percentiles_ms(self.refusal),
             "goodput_per_s": round(self.useful / duration_s, 2),
             "useful": self.useful,
             "late": self.late,
@@ -51,7 +51,7 @@
             "outcomes": dict(self.outcomes),
             "reasons": dict(self.reasons),
             "entries": dict(self.entries),
-            "start_lag_ms": floor.read_ms(self.start_lag),
+            "start_lag_ms": floor.report_percentiles_ms(self.start_lag),
         }
 
 
@@ -183,7 +183,7 @@
             measured.reasons[f"{outcome}.{answer['reason']}"] += 1
         late = took_ms > self._load.deadline_ms + _LATE_GRACE_MS
         measured.late += late
-        value = max(1, min(int(took_ms * 1000), floor.HIGHEST_US))
+        value = max(1, min(int(took_ms * 1000), floor.MAX_LATENCY_US))
         if outcome in ("complete", "partial"):
             measured.latency.record_value(value)
             measured.shards_answered += answer["coverage"]["answered"]
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -14,9 +14,9 @@
 
 @pytest.mark.parametrize("path", sorted((ROOT / "scenarios").glob("*.ini")), ids=lambda p: p.stem)
 def test_scenarios_are_usable(path):
-    found = scenario.read(path)
-    profile = profiles.PROFILES[found.profile]
-    for load in found.loads:
+    loaded = scenario.read(path)
+    profile = profiles.PROFILES[loaded.profile]
+    for load in loaded.loads:
         assert profiles.slots_per_s(profile, load.service) > 0
 
 
@@ -38,12 +38,12 @@
 
 
 def test_floor_takes_the_best_replica_and_the_slowest_shard():
-    times = floor.Times(10.0, 0.3, 0.0, 1.0)
-    one = floor.percentiles_ms(times, 1, 1, 1)
-    best = floor.percentiles_ms(times, 1, 2, 1)
-    fan = floor.percentiles_ms(times, 20, 2, 1)
-    assert best["p50"] < one["p50"] < fan["p50"]
-    assert floor.percentiles_ms(times, 20, 2, 1) == fan
+    service_times = floor.ServiceTimes(10.0, 0.3, 0.0, 1.0)
+    one_replica = floor.percentiles_ms(service_times, 1, 1, 1)
+    two_replicas = floor.percentiles_ms(service_times, 1, 2, 1)
+    twenty_shards = floor.percentiles_ms(service_times, 20, 2, 1)
+    assert two_replicas["p50"] < one_replica["p50"] < twenty_shards["p50"]
+    assert floor.percentiles_ms(service_times, 20, 2, 1) == twenty_shards
 
 
 def test_report_round_trip(tmp_path):
@@ -57,17 +57,17 @@
         "late": 0,
         "reasons": {"refused.<overloaded>": 2},
     }
-    one = {
+    single_report = {
         "scenario": "s",
         "policy": "p",
         "duration_s": 10.0,
         "loads": {"devis": load},
         "targets": {"extra_load": 0.01, "runs": 100},
     }
-    path = report.write([one], tmp_path, "x")
+    path = report.write([single_report], tmp_path, "x")
     assert "&lt;overloaded&gt;" in path.read_text() and "data:image/png" in path.read_text()
-    again = report.read(tmp_path / "x.json")
-    rows = report.ratios(again, again)
+    reports_read = report.read(tmp_path / "x.json")
+    rows = report.ratios(reports_read, reports_read)
     assert all(row[4] == "1.000" for row in rows[1:])
     with pytest.raises(report.ReportError):
         report.read(path)
