--- a/src/turmericlug_lab/experiment.py
+++ b/src/turmericlug_lab/experiment.py
@@ -158,7 +158,7 @@
         "duration_s": scenario.duration_s,
         "loads": {
             load.name: {
-                **each.measured.result(scenario.duration_s),
+                **each.metrics.summary(scenario.duration_s),
                 "floor_ms": _floor(load, scenario, profile, repeat),
                 "rate_per_s": round(_rate(load, profile), 2),
             }
@@ -186,7 +186,7 @@
     entries: dict[str, str],
     http: aiohttp.ClientSession,
     policy: str,
-) -> generator.Generator:
+) -> generator.LoadGenerator:
     names = list(entries)
     callers = [
         generator.Caller(
@@ -198,8 +198,8 @@
         for number in range(load.callers)
     ]
     seed = scenario.seed + repeat
-    return generator.Generator(
-        load, _rate(load, profile), seed, callers, http, asks=policy == TURMERICLUG
+    return generator.LoadGenerator(
+        load, _rate(load, profile), seed, callers, http, resolves_addresses=policy == TURMERICLUG
     )
 
 
@@ -244,14 +244,16 @@
     return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S, pages * 4096 / 1e6
 
 
-def _target_work(before: Report, after: Report, generators: list[generator.Generator]) -> Report:
+def _target_work(
+    before: Report, after: Report, generators: list[generator.LoadGenerator]
+) -> Report:
     def grown(key: str) -> float:
         return sum(
             after["targets"][name][key] - before["targets"].get(name, {}).get(key, 0)
             for name in after["targets"]
         )
 
-    shards = sum(each.measured.shards_answered for each in generators)
+    shards = sum(each.metrics.shards_answered for each in generators)
     reports = after["targets"].values()
     return {
         "runs": grown("runs"),
