--- a/src/turmericlug_lab/experiment.py
+++ b/src/turmericlug_lab/experiment.py
@@ -308,7 +308,7 @@
 
 def _fields(arguments: tuple[str, ...]) -> dict[str, typing.Any]:
     pairs = (argument.split("=", 1) for argument in arguments)
-    return {key: scenario_module.value_of(raw) for key, raw in pairs}
+    return {key: scenario_module.parse_value(raw) for key, raw in pairs}
 
 
 async def _set(fleet: fleet_module.Fleet, arguments: tuple[str, ...]) -> None:
--- a/src/turmericlug_lab/generator.py
+++ b/src/turmericlug_lab/generator.py
@@ -175,7 +175,7 @@
         }
         if load.priority is not None:
             query["priority"] = load.priority
-        if load.once:
+        if load.has_idempotency_key:
             query["idempotency_key"] = f"{int(time.time())}-{request_id}"
         entry, address = await caller.choose_entry(self._resolves_addresses)
         self.metrics.requests_by_entry[entry] += 1
--- a/src/turmericlug_lab/scenario.py
+++ b/src/turmericlug_lab/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: INI files that say which fleet, which load and which faults."""
+"""Scenarios: INI files that describe a fleet, its load and the faults to inject."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from turmericlug_lab import profiles
 
-ACTIONS = ("set", "platform", "freeze", "resume", "kill", "start", "roll", "cut", "heal")
+EVENT_ACTIONS = ("set", "platform", "freeze", "resume", "kill", "start", "roll", "cut", "heal")
 
 
 class ScenarioError(Exception):
@@ -20,27 +20,27 @@
 
 @attrs.frozen
 class Load:
-    """One class of callers, open loop."""
+    """The requests of one group of callers, in an open loop."""
 
     name: str
     service: str
     utilisation: float
-    """Share of the service's slots that the load would keep busy; above 1 is overload."""
+    """Share of the service's slots that the load keeps busy; above 1 is overload."""
     deadline_ms: int
     callers: int
     caller: str
     retries: int
-    """How often a caller without an answer asks again."""
+    """How often a caller retries a request that was refused or failed."""
     retry_after_ms: float
-    """Pause before asking again; negative: as long as the refusal says."""
-    once: bool
+    """Delay before a retry; negative: the delay that the refusal asks for."""
+    has_idempotency_key: bool
     """Whether each request carries an idempotency key."""
     priority: int | None
 
 
 @attrs.frozen
 class Event:
-    """A fault or a change at a moment after the warm-up."""
+    """A fault or change, ``at_s`` seconds after the warm-up."""
 
     at_s: float
     action: str
@@ -59,11 +59,11 @@
     seed: int
     repeats: int
     delayed: bool
-    """Whether peers' traffic has the delays between data centres."""
+    """Whether traffic between peers has the profile's delay between data centres."""
     loads: tuple[Load, ...]
     events: tuple[Event, ...]
     targets: dict[str, typing.Any]
-    """Behaviour of all targets, over the profile's."""
+    """Behaviour of all targets; overrides the profile's."""
     rules: str
     settings: dict[str, dict[str, str]]
 
@@ -72,29 +72,31 @@
     """
     Read a scenario.
 
-    :raises ScenarioError: with the first thing that is wrong
+    :raises ScenarioError: the file can't be read or isn't a valid scenario; names the first fault
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
         with path.open(encoding="utf-8") as stream:
             parser.read_file(stream)
-        return _scenario(path.stem, parser)
+        return _parse_scenario(path.stem, parser)
     except (OSError, configparser.Error, ValueError, KeyError) as error:
         raise ScenarioError(f"{path}: {error}") from error
 
 
-def _scenario(name: str, parser: configparser.ConfigParser) -> Scenario:
-    head = parser["scenario"]
-    profile = head["profile"]
+def _parse_scenario(name: str, parser: configparser.ConfigParser) -> Scenario:
+    scenario_section = parser["scenario"]
+    profile = scenario_section["profile"]
     if profile not in profiles.PROFILES:
-        raise ValueError(f"profile {profile!r} is none of {', '.join(profiles.PROFILES)}")
+        raise ValueError(
+            f"unknown profile {profile!r}, expected one of {', '.join(profiles.PROFILES)}"
+        )
     loads = tuple(
-        _load(section.removeprefix("load "), parser[section])
+        _parse_load(section.removeprefix("load "), parser[section])
         for section in parser.sections()
         if section.startswith("load ")
     )
     if not loads:
-        raise ValueError("no section [load NAME]")
+        raise ValueError("a scenario needs at least one section [load NAME]")
     settings = {
         section.removeprefix("settings "): dict(parser[section])
         for section in parser.sections()
@@ -105,21 +107,23 @@
     return Scenario(
         name=name,
         profile=profile,
-        daemons=head.getint("daemons", 9),
-        duration_s=head.getfloat("duration_s", 8.0),
-        warm_up_s=head.getfloat("warm_up_s", 3.0),
-        seed=head.getint("seed", 1),
-        repeats=head.getint("repeats", 1),
-        delayed=head.getboolean("delayed", True),
+        daemons=scenario_section.getint("daemons", 9),
+        duration_s=scenario_section.getfloat("duration_s", 8.0),
+        warm_up_s=scenario_section.getfloat("warm_up_s", 3.0),
+        seed=scenario_section.getint("seed", 1),
+        repeats=scenario_section.getint("repeats", 1),
+        delayed=scenario_section.getboolean("delayed", True),
         loads=loads,
-        events=tuple(sorted((_event(raw) for _, raw in events), key=lambda each: each.at_s)),
-        targets={key: value_of(raw) for key, raw in targets},
-        rules=head.get("rules", ""),
+        events=tuple(
+            sorted((_parse_event(raw) for _, raw in events), key=lambda event: event.at_s)
+        ),
+        targets={key: parse_value(raw) for key, raw in targets},
+        rules=scenario_section.get("rules", ""),
         settings=settings,
     )
 
 
-def _load(name: str, section: configparser.SectionProxy) -> Load:
+def _parse_load(name: str, section: configparser.SectionProxy) -> Load:
     return Load(
         name=name,
         service=section.get("service", name),
@@ -129,25 +133,27 @@
         caller=section.get("caller", name),
         retries=section.getint("retries", 0),
         retry_after_ms=section.getfloat("retry_after_ms", -1.0),
-        once=section.getboolean("once", False),
+        has_idempotency_key=section.getboolean("once", False),
         priority=section.getint("priority", None),
     )
 
 
-def _event(raw: str) -> Event:
+def _parse_event(raw: str) -> Event:
     at_s, action, *arguments = shlex.split(raw)
-    if action not in ACTIONS:
-        raise ValueError(f"action {action!r} is none of {', '.join(ACTIONS)}")
+    if action not in EVENT_ACTIONS:
+        raise ValueError(
+            f"unknown event action {action!r}, expected one of {', '.join(EVENT_ACTIONS)}"
+        )
     return Event(float(at_s), action, tuple(arguments))
 
 
-def value_of(raw: str) -> typing.Any:
-    """Read a plain value: a number, true or false, else the text."""
+def parse_value(raw: str) -> typing.Any:
+    """Parse a value as a boolean (true or false) or a number; other values stay text."""
     if raw in ("true", "false"):
         return raw == "true"
-    for kind in (int, float):
+    for number_type in (int, float):
         try:
-            return kind(raw)
+            return number_type(raw)
         except ValueError:
             continue
     return raw
