--- a/src/turmericlug_lab/load.py
+++ b/src/turmericlug_lab/load.py
@@ -105,7 +105,7 @@
         other = [each for each in b if (each["scenario"], each["policy"]) == (scenario, policy)]
         if other:
             typer.echo(f"{scenario}, {policy}")
-            _print(report_module.ratios(mine, other))
+            _print(report_module.comparison_rows(mine, other))
 
 
 @application.command()
--- a/src/turmericlug_lab/report.py
+++ b/src/turmericlug_lab/report.py
@@ -1,4 +1,4 @@
-"""Reports of experiments: JSON, a self-contained HTML page with plots, and comparisons."""
+"""Reports of experiments: JSON, a self-contained HTML page with plots, and comparison tables."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 matplotlib.use("Agg")
 
-from matplotlib import pyplot  # noqa: E402 - the back end has to be chosen before
+from matplotlib import pyplot  # noqa: E402 - the backend must be selected before pyplot is imported
 
 Report = dict[str, typing.Any]
 _PERCENTILES = ("p50", "p95", "p99", "p99.9")
 
 
 class ReportError(Exception):
-    """A report file that can't be read."""
+    """A report file can't be read."""
 
 
 def write(reports: list[Report], folder: pathlib.Path, name: str) -> pathlib.Path:
@@ -29,7 +29,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     (folder / f"{name}.json").write_text(json.dumps(reports, indent=1))
     path = folder / f"{name}.html"
-    path.write_text(_page(reports, name))
+    path.write_text(_html_page(reports, name))
     return path
 
 
@@ -37,113 +37,130 @@
     """
     Read a report's JSON.
 
-    :raises ReportError: it can't be read
+    :raises ReportError: the file can't be read or isn't a report
     """
     try:
         reports = json.loads(path.read_text())
-        return [each for each in reports if each["loads"] is not None]
+        return [report for report in reports if report["loads"] is not None]
     except (OSError, ValueError, KeyError, TypeError) as error:
         raise ReportError(f"{path}: {error}") from error
 
 
 def table_rows(reports: list[Report]) -> list[list[str]]:
-    """Lay out reports as rows for people, the column names first."""
+    """Format reports as the rows of a table; the first row is the header."""
     rows = [
         ["scenario", "policy", "load", *_PERCENTILES, "p99/floor", "goodput/s", "offered/s"]
         + ["coverage", "late", "extra load", "not answered"]
     ]
     for report in reports:
-        for name, load in report["loads"].items():
-            latency, floor_ms = load["latency_ms"], load["floor_ms"]
+        for load_name, load in report["loads"].items():
+            latency_ms, floor_ms = load["latency_ms"], load["floor_ms"]
             rows.append(
-                [report["scenario"], report["policy"], name]
-                + [f"{latency[each]:.0f}" for each in _PERCENTILES]
+                [report["scenario"], report["policy"], load_name]
+                + [f"{latency_ms[percentile]:.0f}" for percentile in _PERCENTILES]
                 + [
-                    f"{latency['p99'] / floor_ms['p99']:.2f}",
+                    f"{latency_ms['p99'] / floor_ms['p99']:.2f}",
                     f"{load['goodput_per_s']:.1f}",
                     f"{load['offered'] / report['duration_s']:.1f}",
                     f"{load['coverage']:.4f}",
                     str(load["late"]),
                     f"{report['targets']['extra_load']}",
-                    ", ".join(f"{k} {v}" for k, v in sorted(load["reasons"].items())) or "-",
+                    ", ".join(
+                        f"{reason} {count}" for reason, count in sorted(load["reasons"].items())
+                    )
+                    or "-",
                 ]
             )
     return rows
 
 
-def ratios(ours: list[Report], theirs: list[Report]) -> list[list[str]]:
-    """Compare two sets of repeats: the ratio of medians, and the spread of each."""
+def comparison_rows(reports_a: list[Report], reports_b: list[Report]) -> list[list[str]]:
+    """Compare two sets of repeats: the ratio of their medians, and the range of each."""
     rows = [["load", "measure", "A", "B", "A/B", "spread of A", "spread of B"]]
-    for load in ours[0]["loads"]:
-        for name, pick in _MEASURES.items():
-            a = [pick(report, load) for report in ours if load in report["loads"]]
-            b = [pick(report, load) for report in theirs if load in report["loads"]]
-            if not a or not b:
+    for load_name in reports_a[0]["loads"]:
+        for metric, compute in _METRICS.items():
+            values_a = [
+                compute(report, load_name) for report in reports_a if load_name in report["loads"]
+            ]
+            values_b = [
+                compute(report, load_name) for report in reports_b if load_name in report["loads"]
+            ]
+            if not values_a or not values_b:
                 continue
-            middle_a, middle_b = statistics.median(a), statistics.median(b)
-            ratio = f"{middle_a / middle_b:.3f}" if middle_b else "-"
+            median_a, median_b = statistics.median(values_a), statistics.median(values_b)
+            ratio = f"{median_a / median_b:.3f}" if median_b else "-"
             rows.append(
-                [load, name, f"{middle_a:.2f}", f"{middle_b:.2f}", ratio, _spread(a), _spread(b)]
+                [
+                    load_name,
+                    metric,
+                    f"{median_a:.2f}",
+                    f"{median_b:.2f}",
+                    ratio,
+                    _format_range(values_a),
+                    _format_range(values_b),
+                ]
             )
     return rows
 
 
-_MEASURES: dict[str, typing.Callable[[Report, str], float]] = {
-    "p50 ms": lambda report, load: report["loads"][load]["latency_ms"]["p50"],
-    "p99 ms": lambda report, load: report["loads"][load]["latency_ms"]["p99"],
-    "goodput/s": lambda report, load: report["loads"][load]["goodput_per_s"],
-    "coverage": lambda report, load: report["loads"][load]["coverage"],
-    "target runs": lambda report, load: report["targets"]["runs"],
+_METRICS: dict[str, typing.Callable[[Report, str], float]] = {
+    "p50 ms": lambda report, load_name: report["loads"][load_name]["latency_ms"]["p50"],
+    "p99 ms": lambda report, load_name: report["loads"][load_name]["latency_ms"]["p99"],
+    "goodput/s": lambda report, load_name: report["loads"][load_name]["goodput_per_s"],
+    "coverage": lambda report, load_name: report["loads"][load_name]["coverage"],
+    "target runs": lambda report, load_name: report["targets"]["runs"],
 }
 
 
-def _spread(values: list[float]) -> str:
+def _format_range(values: list[float]) -> str:
     return f"{min(values):.2f}..{max(values):.2f} ({len(values)})"
 
 
-def _page(reports: list[Report], title: str) -> str:
+def _html_page(reports: list[Report], title: str) -> str:
     table = "".join(
         "<tr>" + "".join(f"<td>{html.escape(cell)}</td>" for cell in row) + "</tr>"
         for row in table_rows(reports)
     )
-    plots = "".join(f'<img src="data:image/png;base64,{each}">' for each in _plots(reports))
-    raw = html.escape(json.dumps(reports, indent=1))
+    plots = "".join(f'<img src="data:image/png;base64,{plot}">' for plot in _png_plots(reports))
+    json_text = html.escape(json.dumps(reports, indent=1))
     return (
         f"<!doctype html><meta charset=utf-8><title>{html.escape(title)}</title>"
         "<style>body{font:14px sans-serif;margin:2em}td{border:1px solid #ccc;padding:2px 6px}"
         "table{border-collapse:collapse}img{max-width:100%}</style>"
         f"<h1>{html.escape(title)}</h1>{plots}<table>{table}</table>"
-        f"<details><summary>all numbers</summary><pre>{raw}</pre></details>"
+        f"<details><summary>all numbers</summary><pre>{json_text}</pre></details>"
     )
 
 
-def _plots(reports: list[Report]) -> list[str]:
+def _png_plots(reports: list[Report]) -> list[str]:
     series = [
-        (f"{report['scenario']} {report['policy']} {name}", load)
+        (f"{report['scenario']} {report['policy']} {load_name}", load)
         for report in reports
-        for name, load in report["loads"].items()
+        for load_name, load in report["loads"].items()
     ]
-    figure, (latency, coverage) = pyplot.subplots(
+    figure, (latency_axes, coverage_axes) = pyplot.subplots(
         1, 2, figsize=(12, 1.5 + 0.45 * max(4, len(series))), sharey=True
     )
-    places = range(len(series))
+    positions = range(len(series))
     for index, percentile in enumerate(("p50", "p99")):
-        latency.barh(
-            [place + 0.2 - 0.4 * index for place in places],
+        latency_axes.barh(
+            [position + 0.2 - 0.4 * index for position in positions],
             [load["latency_ms"][percentile] for _, load in series],
             height=0.38,
             label=percentile,
         )
-    for place, (_, load) in enumerate(series):
-        latency.plot([load["floor_ms"]["p99"]] * 2, [place - 0.45, place + 0.45], color="black")
-    latency.set_yticks(list(places), [name for name, _ in series])
-    latency.set_xlabel("latency, ms; black: floor of p99")
-    latency.legend()
-    coverage.barh(list(places), [load["coverage"] for _, load in series])
-    coverage.set_xlabel("coverage of answers")
-    coverage.set_xlim(0, 1.02)
+    for position, (_, load) in enumerate(series):
+        latency_axes.plot(
+            [load["floor_ms"]["p99"]] * 2, [position - 0.45, position + 0.45], color="black"
+        )
+    latency_axes.set_yticks(list(positions), [label for label, _ in series])
+    latency_axes.set_xlabel("latency, ms; black: floor of p99")
+    latency_axes.legend()
+    coverage_axes.barh(list(positions), [load["coverage"] for _, load in series])
+    coverage_axes.set_xlabel("coverage of answers")
+    coverage_axes.set_xlim(0, 1.02)
     figure.tight_layout()
-    stream = io.BytesIO()
-    figure.savefig(stream, format="png", dpi=90)
+    png = io.BytesIO()
+    figure.savefig(png, format="png", dpi=90)
     pyplot.close(figure)
-    return [base64.b64encode(stream.getvalue()).decode()]
+    return [base64.b64encode(png.getvalue()).decode()]
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -67,7 +67,7 @@
     path = report.write([single_report], tmp_path, "x")
     assert "&lt;overloaded&gt;" in path.read_text() and "data:image/png" in path.read_text()
     reports_read = report.read(tmp_path / "x.json")
-    rows = report.ratios(reports_read, reports_read)
+    rows = report.comparison_rows(reports_read, reports_read)
     assert all(row[4] == "1.000" for row in rows[1:])
     with pytest.raises(report.ReportError):
         report.read(path)
