--- a/src/turmericlug_lab/load.py
+++ b/src/turmericlug_lab/load.py
@@ -113,8 +113,8 @@
     file: typing.Annotated[pathlib.Path, typer.Argument(help="JSON file to write.")],
 ) -> None:
     """Measure how each role's cost grows: the inputs of docs/CAPACITY.md."""
-    found = asyncio.run(slopes_module.measure(lambda text: typer.echo(text, err=True)))
-    file.write_text(json.dumps(found, indent=1) + "\n")
+    measurements = asyncio.run(slopes_module.measure(lambda text: typer.echo(text, err=True)))
+    file.write_text(json.dumps(measurements, indent=1) + "\n")
     typer.echo(f"written: {file}")
 
 
