--- a/src/turmericlug_lab/load.py
+++ b/src/turmericlug_lab/load.py
@@ -1,4 +1,4 @@
-"""``turmericlug-load``: demonstration, load and experiments."""
+"""``turmericlug-load``: a demonstration, load experiments and the benchmark."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
     version: version_module.Option = False,
 ) -> None:
     """
-    Start stand-ins and daemons on loopback, load them, and report what was measured.
+    Start stand-ins and daemons on loopback, put load on them and report the measurements.
 
-    Exit codes: 0 done, 1 a bound was passed or the fleet failed, 2 wrong usage.
+    Exit codes: 0 done, 1 a limit was crossed or the fleet failed, 2 wrong usage.
     """
 
 
 @application.command()
 def demo() -> None:
-    """Play a short demonstration: a rule, a query, a request that must not be repeated."""
+    """Run a short demonstration: a rule, a query, and a request that must not be repeated."""
     demo_module.run()
 
 
@@ -47,10 +47,10 @@
     policy: typing.Annotated[
         list[str],
         typer.Option(help=f"One of {', '.join(experiment.POLICIES)}; repeatable; default: all."),
-    ] = [],  # noqa: B006 - typer wants a list
-    folder: typing.Annotated[pathlib.Path, typer.Option(help="Where reports go.")] = pathlib.Path(
-        "reports"
-    ),
+    ] = [],  # noqa: B006 - typer needs a list as the default
+    folder: typing.Annotated[
+        pathlib.Path, typer.Option(help="Folder to write reports to.")
+    ] = pathlib.Path("reports"),
     name: typing.Annotated[str, typer.Option(help="Name of the report.")] = "run",
 ) -> None:
     """Run scenarios with real processes; write NAME.json and NAME.html."""
@@ -61,15 +61,15 @@
         except scenario_module.ScenarioError as error:
             typer.echo(str(error), err=True)
             raise typer.Exit(2) from error
-        for each in policy or experiment.POLICIES:
+        for each_policy in policy or experiment.POLICIES:
             for repeat in range(scenario.repeats):
-                reports.append(run_once(scenario, each, repeat))
-    _print(report_module.table_rows(reports))
+                reports.append(run_once(scenario, each_policy, repeat))
+    _print_table(report_module.table_rows(reports))
     typer.echo(f"written: {report_module.write(reports, folder, name)}")
 
 
 def run_once(scenario: scenario_module.Scenario, policy: str, repeat: int) -> dict[str, typing.Any]:
-    """Run one scenario once, with progress on standard error."""
+    """Run a scenario once; progress goes to standard error."""
     if policy not in experiment.POLICIES:
         typer.echo(f"unknown policy {policy}", err=True)
         raise typer.Exit(2)
@@ -82,10 +82,10 @@
         raise typer.Exit(1) from error
 
 
-def _print(rows: list[list[str]]) -> None:
-    table = rich_table.Table(*rows[0])
-    for row in rows[1:]:
-        table.add_row(*row)
+def _print_table(header_and_rows: list[list[str]]) -> None:
+    table = rich_table.Table(*header_and_rows[0])
+    for cells in header_and_rows[1:]:
+        table.add_row(*cells)
     rich_console.Console(width=200, highlight=False).print(table)
 
 
@@ -94,25 +94,35 @@
     ours: typing.Annotated[pathlib.Path, typer.Argument(help="Report A, the JSON file.")],
     theirs: typing.Annotated[pathlib.Path, typer.Argument(help="Report B, the JSON file.")],
 ) -> None:
-    """Print the ratios of two reports, with their spread over repeats."""
+    """Compare two reports: ratios of medians, and the range over repeats."""
     try:
-        a, b = report_module.read(ours), report_module.read(theirs)
+        reports_a, reports_b = report_module.read(ours), report_module.read(theirs)
     except report_module.ReportError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(2) from error
-    for scenario, policy in sorted({(each["scenario"], each["policy"]) for each in a}):
-        mine = [each for each in a if (each["scenario"], each["policy"]) == (scenario, policy)]
-        other = [each for each in b if (each["scenario"], each["policy"]) == (scenario, policy)]
-        if other:
+    for scenario, policy in sorted(
+        {(report["scenario"], report["policy"]) for report in reports_a}
+    ):
+        matching_a = [
+            report
+            for report in reports_a
+            if (report["scenario"], report["policy"]) == (scenario, policy)
+        ]
+        matching_b = [
+            report
+            for report in reports_b
+            if (report["scenario"], report["policy"]) == (scenario, policy)
+        ]
+        if matching_b:
             typer.echo(f"{scenario}, {policy}")
-            _print(report_module.comparison_rows(mine, other))
+            _print_table(report_module.comparison_rows(matching_a, matching_b))
 
 
 @application.command()
 def slopes(
     file: typing.Annotated[pathlib.Path, typer.Argument(help="JSON file to write.")],
 ) -> None:
-    """Measure how each role's cost grows: the inputs of docs/CAPACITY.md."""
+    """Measure how the cost of each role grows, as input of docs/CAPACITY.md."""
     measurements = asyncio.run(slopes_module.measure(lambda text: typer.echo(text, err=True)))
     file.write_text(json.dumps(measurements, indent=1) + "\n")
     typer.echo(f"written: {file}")
@@ -122,7 +132,7 @@
 def capacity(
     file: typing.Annotated[pathlib.Path, typer.Argument(help="JSON file that slopes wrote.")],
 ) -> None:
-    """Work out the table of docs/CAPACITY.md from measured slopes."""
+    """Compute the table of docs/CAPACITY.md from the measured slopes."""
     typer.echo(capacity_module.table(json.loads(file.read_text())), nl=False)
 
 
@@ -130,13 +140,13 @@
 def bench(
     repeats: typing.Annotated[int, typer.Option(help="Runs of each scenario.")] = 1,
 ) -> None:
-    """Run a short set against the baseline and fail if a bound is passed."""
-    problems = bench_module.run(run_once, repeats)
-    for problem in problems:
-        typer.echo(problem, err=True)
-    if problems:
+    """Compare a few scenarios with the baseline and fail if a limit is crossed."""
+    violations = bench_module.run(run_once, repeats)
+    for violation in violations:
+        typer.echo(violation, err=True)
+    if violations:
         raise typer.Exit(1)
-    typer.echo("all bounds hold")
+    typer.echo("all limits hold")
 
 
 def run() -> None:
