--- a/tests/deploy/test_days.py
+++ b/tests/deploy/test_days.py
@@ -1,4 +1,4 @@
-"""The days that are played on every deployment."""
+"""Checks the test days, which have to run on every deployment."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import pytest
 
 ROOT = pathlib.Path(__file__).parents[2]
-FILES = sorted((ROOT / "deploy" / "days").glob("*.toml"))
-PLANNED_KINDS = {
+DAY_FILES = sorted((ROOT / "deploy" / "days").glob("*.toml"))
+PLANNED_EVENT_KINDS = {
     "add_nodes",
     "big_config",
     "config_change",
@@ -23,25 +23,25 @@
     "scale_in",
     "scale_out",
 }
-LAST_BEGIN_S = 26.0
-"""Deployments of 34 s have to see the end of each trouble before the final fault."""
+LATEST_START_S = 26.0
+"""On deployments of 34 s, each event has to end before the final fault."""
 
 
 def test_there_are_days():
-    assert FILES
+    assert DAY_FILES
 
 
-@pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", DAY_FILES, ids=lambda path: path.stem)
 def test_a_day_can_be_played_anywhere(path):
     """
-    A day names a service of one deployment, or begins a trouble after its end. Elsewhere it is left
-    out without a word, and nobody notices that the combination is no longer played.
+    A day may name a service of one deployment, or start an event after the end of a shorter day.
+    Other deployments skip the event silently, and nobody notices that it is no longer tested.
     """
     day = tomllib.loads(path.read_text())
     assert day["name"] == path.stem
     assert path.read_text().startswith("# ")
-    for entry in [*day["plan"], *day["faults"]]:
-        assert 0.0 <= entry["at"] <= LAST_BEGIN_S
-        named = [entry[key] for key in ("service", "class", "zone") if key in entry]
-        assert all(each.startswith("@") for each in named)
-    assert all(entry["kind"] in PLANNED_KINDS for entry in day["plan"])
+    for event in [*day["plan"], *day["faults"]]:
+        assert 0.0 <= event["at"] <= LATEST_START_S
+        references = [event[key] for key in ("service", "class", "zone") if key in event]
+        assert all(reference.startswith("@") for reference in references)
+    assert all(event["kind"] in PLANNED_EVENT_KINDS for event in day["plan"])
--- a/tests/deploy/test_sweep_table.py
+++ b/tests/deploy/test_sweep_table.py
@@ -1,4 +1,4 @@
-"""Sweeps of the journal as tables of the capacity page."""
+"""Tests the capacity page's tables of the sweeps in the journal."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 """
 
 
-def sweep(site, at, ok=True, cmd="sweep"):
+def sweep_entry(site, at, ok=True, cmd="sweep"):
     return {"site": site, "at": [at, at], "ok": ok, "cmd": cmd, "id": at, "digest": DIGEST}
 
 
 def test_the_table_has_a_row_for_each_quantity():
-    assert sweep_table.table(sweep("s", "1"))[2:] == [
+    assert sweep_table.table_lines(sweep_entry("s", "1"))[2:] == [
         "| quantity | 30 instances | 300 instances | power | at 4733 |",
         "|---|---|---|---|---|",
         "| share served | 0.988 | 0.977 | | |",
@@ -41,29 +41,29 @@
 
 
 def test_a_deployment_may_name_no_target():
-    entry = sweep("s", "1")
+    entry = sweep_entry("s", "1")
     entry["digest"] = entry["digest"].replace("at 4733", "at null")
-    assert sweep_table.table(entry)[2].endswith("| power | at target |")
+    assert sweep_table.table_lines(entry)[2].endswith("| power | at target |")
 
 
 @pytest.mark.parametrize(
-    ("entries", "found"),
+    ("entries", "newest_ids"),
     [
-        ([sweep("s", "1"), sweep("s", "2")], {"s": "2"}),
-        ([sweep("s", "1"), sweep("s", "2", ok=False)], {"s": "1"}),
-        ([sweep("s", "1"), sweep("s", "2", cmd="score")], {"s": "1"}),
-        ([sweep("s", "1"), sweep("t", "2")], {"s": "1", "t": "2"}),
+        ([sweep_entry("s", "1"), sweep_entry("s", "2")], {"s": "2"}),
+        ([sweep_entry("s", "1"), sweep_entry("s", "2", ok=False)], {"s": "1"}),
+        ([sweep_entry("s", "1"), sweep_entry("s", "2", cmd="score")], {"s": "1"}),
+        ([sweep_entry("s", "1"), sweep_entry("t", "2")], {"s": "1", "t": "2"}),
     ],
     ids=["newer", "not to its end", "no sweep", "two deployments"],
 )
-def test_the_newest_sweep_of_each_deployment_counts(entries, found):
-    newest = sweep_table.newest(entries)
-    assert {site: entry["id"] for site, entry in newest.items()} == found
+def test_the_newest_sweep_of_each_deployment_counts(entries, newest_ids):
+    newest_sweeps = sweep_table.newest_sweeps(entries)
+    assert {site: entry["id"] for site, entry in newest_sweeps.items()} == newest_ids
 
 
 def test_the_rest_of_the_page_stays():
-    text = "before\n<!-- sweeps -->\nold\n<!-- end of sweeps -->\nafter\n"
-    page = sweep_table.page(text, [sweep("s", "1")])
-    assert page.startswith("before\n<!-- sweeps -->\n**s**, sweep 1\n")
-    assert page.endswith("<!-- end of sweeps -->\nafter\n")
-    assert "old" not in page
+    page = "before\n<!-- sweeps -->\nold\n<!-- end of sweeps -->\nafter\n"
+    updated_page = sweep_table.update_page(page, [sweep_entry("s", "1")])
+    assert updated_page.startswith("before\n<!-- sweeps -->\n**s**, sweep 1\n")
+    assert updated_page.endswith("<!-- end of sweeps -->\nafter\n")
+    assert "old" not in updated_page
