--- a/src/turmericlug_lab/load.py
+++ b/src/turmericlug_lab/load.py
@@ -61,9 +61,9 @@
         except scenario_module.ScenarioError as error:
             typer.echo(str(error), err=True)
             raise typer.Exit(2) from error
-        for each_policy in policy or experiment.POLICIES:
+        for policy_name in policy or experiment.POLICIES:
             for repeat in range(scenario.repeats):
-                reports.append(run_once(scenario, each_policy, repeat))
+                reports.append(run_once(scenario, policy_name, repeat))
     _print_table(report_module.table_rows(reports))
     typer.echo(f"written: {report_module.write(reports, folder, name)}")
 
