--- a/src/turmericlug/operators/http.py
+++ b/src/turmericlug/operators/http.py
@@ -295,8 +295,8 @@
                             "limit": round(each.limit, 2),
                             "slots": each.max_limit,
                             "latency_ms": round(each.latency_ms, 2),
-                            "leaving": each.leaving,
-                            "ejected": bool(each.ejections),
+                            "leaving": each.draining_reason,
+                            "ejected": bool(each.consecutive_ejections),
                             "suspected": each.suspected,
                         }
                         for each in queue.replicas.values()
--- a/src/turmericlug/owner/hedging.py
+++ b/src/turmericlug/owner/hedging.py
@@ -47,7 +47,10 @@
 
         :param attempts: the part's attempts in flight
         """
-        if any(each.replica.ejections for each in attempts) or self.hedge_budget.try_spend():
+        if (
+            any(each.replica.consecutive_ejections for each in attempts)
+            or self.hedge_budget.try_spend()
+        ):
             return True
         return (
             all(self.looks_stuck(each, now_s) for each in attempts)
--- a/src/turmericlug/owner/owner.py
+++ b/src/turmericlug/owner/owner.py
@@ -236,7 +236,7 @@
             if self._generations.get(entry.instance) != entry.generation:
                 replica = self._new_replica(entry, limits.slots if limits else 1)
                 queue.replicas[entry.instance] = replica
-                if not replica.leaving:
+                if not replica.draining_reason:
                     warming.append(client.warm(replica.address, int(replica.max_limit), 1.0))
             if entry.leaving:
                 queue.mark_leaving(entry.instance, replica_module.LISTED_AS_LEAVING)
@@ -257,7 +257,7 @@
             generation=entry.generation,
         )
         if f"{entry.instance}#{entry.generation}" in self._leaving_targets:
-            replica.leaving = "told_by_peer"
+            replica.draining_reason = "told_by_peer"
         return replica
 
     async def _check_health(self, client: target.Client, replica: replica_module.Replica) -> None:
@@ -305,7 +305,7 @@
         for queue in self.queues.values():
             replica = queue.replicas.get(instance)
             if replica is not None and str(self._generations.get(instance, 0)) == generation:
-                replica.leaving = "told_by_peer"
+                replica.draining_reason = "told_by_peer"
 
     def on_parts(self, request: server_module.Request) -> None:
         """Handle parts submitted by a coordinator on another instance."""
--- a/src/turmericlug/owner/replica.py
+++ b/src/turmericlug/owner/replica.py
@@ -22,11 +22,11 @@
     limit: float = policy.INITIAL_LIMIT
     in_flight: int = 0
     latency_ms: float = 0.0
-    leaving: str = ""
+    draining_reason: str = ""
     """Why the replica gets no new attempts; empty unless it is draining."""
     suspected: bool = False
     failures: int = 0
-    ejections: int = 0
+    consecutive_ejections: int = 0
     ejected_until_s: float = 0.0
     last_answer_at_s: float = 0.0
     absent_snapshots: dict[str, float] = attrs.field(factory=dict)
@@ -36,9 +36,11 @@
 
     def is_eligible(self, now_s: float) -> bool:
         """Whether it may get an attempt; after an ejection it is probed with one at a time."""
-        if self.leaving:
+        if self.draining_reason:
             return False
-        return not self.ejections or (now_s >= self.ejected_until_s and self.in_flight == 0)
+        return not self.consecutive_ejections or (
+            now_s >= self.ejected_until_s and self.in_flight == 0
+        )
 
     def lacks_snapshot(self, snapshot: str, now_s: float) -> bool:
         """Whether it reported within the last 250 ms that it does not hold a snapshot."""
@@ -47,7 +49,7 @@
 
     def record_success(self, duration_ms: float) -> None:
         """Record an answer; ends an ejection."""
-        self.failures = self.ejections = 0
+        self.failures = self.consecutive_ejections = 0
         self.last_answer_at_s = time.monotonic()
         self.suspected = False
         self.limit = policy.increased_limit(self.limit, self.max_limit)
@@ -65,11 +67,15 @@
         :param may_eject: false for the last replica in use, which is better than none
         """
         self.failures += 1
-        threshold = 1 if self.suspected or self.ejections else policy.EJECT_AFTER_FAILURES
+        threshold = (
+            1 if self.suspected or self.consecutive_ejections else policy.EJECT_AFTER_FAILURES
+        )
         if self.failures < threshold or not may_eject:
             return False
-        self.ejections += 1
+        self.consecutive_ejections += 1
         self.failures = 0
         self.limit = policy.INITIAL_LIMIT
-        self.ejected_until_s = time.monotonic() + policy.ejection_ms(self.ejections) / 1000
+        self.ejected_until_s = (
+            time.monotonic() + policy.ejection_ms(self.consecutive_ejections) / 1000
+        )
         return True
--- a/src/turmericlug/owner/selection.py
+++ b/src/turmericlug/owner/selection.py
@@ -13,7 +13,7 @@
 
 def not_draining(replicas: Replicas) -> list[replica_module.Replica]:
     """Return the replicas that are not draining."""
-    return [each for each in replicas if not each.leaving]
+    return [each for each in replicas if not each.draining_reason]
 
 
 def eligible(replicas: Replicas, now_s: float) -> list[replica_module.Replica]:
--- a/src/turmericlug/owner/service_queue.py
+++ b/src/turmericlug/owner/service_queue.py
@@ -334,8 +334,8 @@
     def mark_leaving(self, instance: str, reason: str) -> None:
         """Stop giving a replica new attempts; the first time, notify the peers."""
         replica = self.replicas.get(instance)
-        if replica is not None and not replica.leaving:
-            replica.leaving = reason
+        if replica is not None and not replica.draining_reason:
+            replica.draining_reason = reason
             self.on_leaving(instance)
 
     def _apply_outcome(
--- a/tests/owner/test_selection.py
+++ b/tests/owner/test_selection.py
@@ -16,7 +16,7 @@
 
 
 def ejected(name):
-    return replica(name, ejections=1, ejected_until_s=NOW_S + 5)
+    return replica(name, consecutive_ejections=1, ejected_until_s=NOW_S + 5)
 
 
 @pytest.mark.parametrize(
@@ -26,7 +26,9 @@
         pytest.param([replica("a"), replica("b")], ["a", "b"], 4.0, id="all healthy"),
         pytest.param([replica("a"), ejected("b")], ["a"], 2.0, id="one ejected"),
         pytest.param([ejected("a"), ejected("b")], ["a", "b"], 4.0, id="all ejected, all eligible"),
-        pytest.param([replica("a", leaving="draining")], [], 0.0, id="a draining one, never"),
+        pytest.param(
+            [replica("a", draining_reason="draining")], [], 0.0, id="a draining one, never"
+        ),
     ],
 )
 def test_eligible_replicas_and_their_slots(replicas, names, slots):
--- a/tests/owner/test_service_queue.py
+++ b/tests/owner/test_service_queue.py
@@ -214,8 +214,8 @@
         for number in range(12):
             submit(queue, replies, number=number, retries=3)
             await wait_for_replies(replies, number + 1)
-        assert queue.replicas["r0"].ejections
-        assert not queue.replicas["r1"].ejections
+        assert queue.replicas["r0"].consecutive_ejections
+        assert not queue.replicas["r1"].consecutive_ejections
         queue.mark_leaving("r1", "draining")
         submit(queue, replies, number=99, retries=0)
         await wait_for_replies(replies, 13)
