--- a/src/turmericlug/owner/target.py
+++ b/src/turmericlug/owner/target.py
@@ -14,11 +14,11 @@
 
 from turmericlug.telemetry import counters as counters_module
 
-ATTEMPT = "Query-Attempt"
-SNAPSHOT = "Query-Snapshot"
-SHARD = "Query-Shard"
-DEADLINE_MS = "Query-Deadline-Ms"
-NOT_RUN = "Query-Not-Run"
+ATTEMPT_HEADER = "Query-Attempt"
+SNAPSHOT_HEADER = "Query-Snapshot"
+SHARD_HEADER = "Query-Shard"
+DEADLINE_MS_HEADER = "Query-Deadline-Ms"
+NOT_RUN_HEADER = "Query-Not-Run"
 CANCELLED_STATUS = 499
 """Status of an attempt that the target had started and then cancelled on request."""
 CANCEL_GRACE_S = 0.05
@@ -86,10 +86,10 @@
         :param remaining_s: time to the deadline; sent to the target as well
         """
         headers = {
-            ATTEMPT: attempt,
-            SNAPSHOT: snapshot,
-            SHARD: shard,
-            DEADLINE_MS: str(max(1, int(remaining_s * 1000))),
+            ATTEMPT_HEADER: attempt,
+            SNAPSHOT_HEADER: snapshot,
+            SHARD_HEADER: shard,
+            DEADLINE_MS_HEADER: str(max(1, int(remaining_s * 1000))),
             "Content-Type": "application/json",
         }
         try:
@@ -114,20 +114,20 @@
         # A response with the identifier of another attempt belongs to another request, for example
         # to an earlier one on this connection that timed out. The connection is closed with it:
         # all later responses on it would be off by one as well.
-        if response.headers.get(ATTEMPT) != attempt:
+        if response.headers.get(ATTEMPT_HEADER) != attempt:
             self._counters.add("owner.mismatched_reply")
             response.close()
             return Unknown("mismatched_reply")
         if response.status == 200:
-            if response.headers.get(SNAPSHOT) != snapshot:
+            if response.headers.get(SNAPSHOT_HEADER) != snapshot:
                 return Unknown("wrong_snapshot")
             if len(body) > MAX_REPLY_BYTES or not _is_json(body):
                 return Unknown("bad_reply")
             return Answered(snapshot, body)
         if response.status == 409:
             return SnapshotAbsent()
-        if response.headers.get(NOT_RUN):
-            return NotRun(response.headers[NOT_RUN])
+        if response.headers.get(NOT_RUN_HEADER):
+            return NotRun(response.headers[NOT_RUN_HEADER])
         if response.status == CANCELLED_STATUS:
             return Unknown("cancelled")
         return Unknown(f"status_{response.status}")
@@ -137,7 +137,7 @@
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
             async with asyncio.timeout(CANCEL_GRACE_S):
                 async with self._session.post(
-                    f"{address}/v1/cancel", headers={ATTEMPT: attempt}
+                    f"{address}/v1/cancel", headers={ATTEMPT_HEADER: attempt}
                 ) as response:
                     await response.read()
 
--- a/src/turmericlug_lab/baseline.py
+++ b/src/turmericlug_lab/baseline.py
@@ -60,10 +60,10 @@
         for _ in range(_TRIES):
             self._count += 1
             headers = {
-                target_module.ATTEMPT: f"{self._name}.{self._count}",
-                target_module.SNAPSHOT: "s1",
-                target_module.SHARD: service,
-                target_module.DEADLINE_MS: str(int(self._timeout_s * 1000)),
+                target_module.ATTEMPT_HEADER: f"{self._name}.{self._count}",
+                target_module.SNAPSHOT_HEADER: "s1",
+                target_module.SHARD_HEADER: service,
+                target_module.DEADLINE_MS_HEADER: str(int(self._timeout_s * 1000)),
             }
             address = self._rng.choice(self._services[service])
             try:
--- a/src/turmericlug_lab/standin_target.py
+++ b/src/turmericlug_lab/standin_target.py
@@ -143,13 +143,13 @@
         return web.json_response(numbers)
 
     async def _cancel(self, request: web.Request) -> web.Response:
-        task = self._tasks.get(request.headers.get(target_module.ATTEMPT, ""))
+        task = self._tasks.get(request.headers.get(target_module.ATTEMPT_HEADER, ""))
         if task is not None:
             task.cancel("asked")
         return web.Response(status=202)
 
     async def _run(self, request: web.Request) -> web.StreamResponse:
-        attempt = request.headers[target_module.ATTEMPT]
+        attempt = request.headers[target_module.ATTEMPT_HEADER]
         body = await request.read()
         await self._connect_cost(request)
         self.received += 1
@@ -158,9 +158,9 @@
             return self._not_run(attempt, "draining")
         if self._waiting >= behaviour.shed_above:
             return self._not_run(attempt, "shed")
-        snapshot = request.headers[target_module.SNAPSHOT]
+        snapshot = request.headers[target_module.SNAPSHOT_HEADER]
         if snapshot not in behaviour.snapshots:
-            return web.Response(status=409, headers={target_module.ATTEMPT: attempt})
+            return web.Response(status=409, headers={target_module.ATTEMPT_HEADER: attempt})
         task = asyncio.create_task(self._work(request, attempt, snapshot, body))
         self._tasks[attempt] = task
         try:
@@ -169,7 +169,8 @@
             if not task.cancelled():
                 raise
             return web.Response(
-                status=target_module.CANCELLED_STATUS, headers={target_module.ATTEMPT: attempt}
+                status=target_module.CANCELLED_STATUS,
+                headers={target_module.ATTEMPT_HEADER: attempt},
             )
         finally:
             task.cancel()
@@ -177,17 +178,19 @@
 
     def _not_run(self, attempt: str, reason: str) -> web.Response:
         self.note(event="refused", attempt=attempt, reason=reason)
-        headers = {target_module.ATTEMPT: attempt, target_module.NOT_RUN: reason}
+        headers = {target_module.ATTEMPT_HEADER: attempt, target_module.NOT_RUN_HEADER: reason}
         return web.Response(status=503, headers=headers)
 
     async def _work(
         self, request: web.Request, attempt: str, snapshot: str, body: bytes
     ) -> web.StreamResponse:
         """Wait for a slot within the deadline, run, answer."""
-        shard = request.headers[target_module.SHARD]
+        shard = request.headers[target_module.SHARD_HEADER]
         self._waiting += 1
         try:
-            async with asyncio.timeout(int(request.headers[target_module.DEADLINE_MS]) / 1000):
+            async with asyncio.timeout(
+                int(request.headers[target_module.DEADLINE_MS_HEADER]) / 1000
+            ):
                 await self._slots.acquire()
         except TimeoutError:
             return self._not_run(attempt, "deadline")
@@ -231,7 +234,7 @@
     ) -> web.StreamResponse:
         result = {"replica": self.spec.name, "shard": shard, "snapshot": snapshot}
         text = json.dumps(result)[:-1].encode() + b', "asked": ' + body + b"}"
-        headers = {target_module.ATTEMPT: attempt, target_module.SNAPSHOT: snapshot}
+        headers = {target_module.ATTEMPT_HEADER: attempt, target_module.SNAPSHOT_HEADER: snapshot}
         fault = self.behaviour.reply_fault
         if fault and self._rng.random() >= self.behaviour.fault_share:
             fault = ""
@@ -242,14 +245,17 @@
             if transport is not None:
                 transport.abort()
         elif fault in ("crossed", "duplicated"):
-            headers[target_module.ATTEMPT], text = last
+            headers[target_module.ATTEMPT_HEADER], text = last
         elif fault == "wrong_snapshot":
-            headers[target_module.SNAPSHOT] = "another"
+            headers[target_module.SNAPSHOT_HEADER] = "another"
         elif fault == "garbage":
             text = text[: len(text) // 2]
         elif fault == "truncated":
-            head = f"HTTP/1.1 200 OK\r\n{target_module.ATTEMPT}: {attempt}\r\n"
-            head += f"{target_module.SNAPSHOT}: {snapshot}\r\nContent-Length: {len(text)}\r\n\r\n"
+            head = f"HTTP/1.1 200 OK\r\n{target_module.ATTEMPT_HEADER}: {attempt}\r\n"
+            head += (
+                f"{target_module.SNAPSHOT_HEADER}: {snapshot}\r\n"
+                f"Content-Length: {len(text)}\r\n\r\n"
+            )
             transport.write(head.encode() + text[: len(text) // 2])
             transport.close()
         return web.Response(body=text, headers=headers, content_type="application/json")
--- a/tests/mutants_daemon.py
+++ b/tests/mutants_daemon.py
@@ -21,7 +21,7 @@
     mutant.one(
         "no-attempt-check",
         "owner/target.py",
-        "if response.headers.get(ATTEMPT) != attempt:",
+        "if response.headers.get(ATTEMPT_HEADER) != attempt:",
         "if not attempt:",
         "integration/test_own_answer.py::test_replies_go_wrong[crossed]",
     ),
