--- a/src/turmericlug/daemon.py
+++ b/src/turmericlug/daemon.py
@@ -207,7 +207,7 @@
         kernel.find("records"),
         kernel.find("counters"),
     )
-    kernel.find("distribution").wait_for_older_queries = coordinator.older_ended
+    kernel.find("distribution").wait_for_older_queries = coordinator.wait_for_older_queries
     yield coordinator
 
 
--- a/src/turmericlug/query/coordinator.py
+++ b/src/turmericlug/query/coordinator.py
@@ -85,7 +85,7 @@
         """Return a query identifier that is unique across instances and restarts."""
         return f"{self._id_prefix}-{next(self._query_numbers)}"
 
-    async def older_ended(self, revision: int, timeout_s: float) -> bool:
+    async def wait_for_older_queries(self, revision: int, timeout_s: float) -> bool:
         """Wait until no query in flight started under an older rules revision."""
         end_s = time.monotonic() + timeout_s
         while any(each < revision for each in self._running.values()):
