--- a/src/turmericlug/owner/fair_queue.py
+++ b/src/turmericlug/owner/fair_queue.py
@@ -22,10 +22,10 @@
 
 class FairQueue(typing.Generic[Item]):
     """
-    Parts that wait for a slot.
+    Items that wait for a slot.
 
     Callers of the same priority are served round-robin, so that a retry storm of one caller delays
-    only that caller's parts. A part that is done (cancelled, answered) is dropped on removal.
+    only that caller's items. An item that is done (cancelled, answered) is dropped on removal.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         return self._length
 
     def push(self, item: Item) -> None:
-        """Add a part."""
+        """Add an item."""
         level = self._levels.setdefault(item.priority, collections.OrderedDict())
         heapq.heappush(
             level.setdefault(item.caller, []), (item.deadline_s, next(self._sequence), item)
@@ -45,7 +45,7 @@
         self._length += 1
 
     def pop(self) -> Item | None:
-        """Remove and return the next part that is not done."""
+        """Remove and return the next item that is not done."""
         for priority in sorted(self._levels, reverse=True):
             level = self._levels[priority]
             while level:
@@ -62,24 +62,26 @@
         return None
 
     def count_ahead_of(self, priority: int, caller: str) -> int:
-        """Count the queued parts that would be served before a new part of a caller."""
+        """Count the queued items that would be served before a new item of a caller."""
         ahead = 0
-        for each, level in self._levels.items():
-            if each > priority:
+        for level_priority, level in self._levels.items():
+            if level_priority > priority:
                 ahead += sum(len(heap) for heap in level.values())
-            elif each == priority:
-                own = len(level.get(caller, ()))
-                ahead += own + sum(
-                    min(len(heap), own + 1) for name, heap in level.items() if name != caller
+            elif level_priority == priority:
+                own_count = len(level.get(caller, ()))
+                ahead += own_count + sum(
+                    min(len(heap), own_count + 1)
+                    for heap_caller, heap in level.items()
+                    if heap_caller != caller
                 )
         return ahead
 
     def count_of_caller(self, caller: str) -> int:
-        """Count the queued parts of a caller."""
+        """Count the queued items of a caller."""
         return sum(len(level.get(caller, ())) for level in self._levels.values())
 
     def drain(self) -> list[Item]:
-        """Remove and return all parts that are not done."""
+        """Remove and return all items that are not done."""
         items = []
         while (item := self.pop()) is not None:
             items.append(item)
--- a/src/turmericlug/owner/owner.py
+++ b/src/turmericlug/owner/owner.py
@@ -29,8 +29,8 @@
 
 _HEALTH_TIMEOUT_S = 0.5
 _STANDBY_OWNERS = 2
-_UNOWNED_KEEP_S = 2.0
-_PARTS_PER_TURN = 16
+_UNOWNED_IDLE_S = 2.0
+_PARTS_PER_ITERATION = 16
 
 
 OnReplies = abc.Callable[[list[part_module.PartReply]], None]
@@ -48,7 +48,7 @@
         counters: counters_module.Counters,
     ) -> None:
         self.queues: dict[str, service_queue.ServiceQueue] = {}
-        self.leaving = False
+        self.draining = False
         self._settings = settings
         self._config = config
         self._mesh = mesh
@@ -56,13 +56,13 @@
         self._counters = counters
         self._rng = random.Random(settings.instance.name)
         self._queue_stacks: dict[str, contextlib.AsyncExitStack] = {}
-        self._idle_since_s: dict[str, float] = {}
-        self._opening: dict[str, asyncio.Task[service_queue.ServiceQueue]] = {}
+        self._unowned_since_s: dict[str, float] = {}
+        self._open_tasks: dict[str, asyncio.Task[service_queue.ServiceQueue]] = {}
         self._generations: dict[str, int] = {}
-        self._leaving_targets: set[str] = set()
+        self._draining_targets: set[str] = set()
         # Cached: ranking all instances for each of 500 parts costs more than the rest of a query.
         self._rankings: dict[str, list[members_module.Member]] = {}
-        self._ranked_at = (-1, -1)
+        self._rankings_version = (-1, -1)
         self._tasks = tasks.Tasks()
         self.suspects = suspects_module.Suspects(
             counters, self._broadcast_suspects, lambda: gossip.must_forward(len(self._peer_names()))
@@ -72,19 +72,21 @@
         self, service: str, joining: tuple[members_module.Member, ...] = ()
     ) -> list[members_module.Member]:
         """Rank the instances that may own a service, the owner first."""
-        # The data centre comes from the catalogue, not from the instance list as seen here: with
-        # different lists, instances would rank differently and disagree on the owner.
-        limits = self._config.catalog.services.get(service)
-        centre = limits.data_centre if limits else ""
+        # The data centre comes from the catalogue, not from the local instance list: with different
+        # lists, instances would rank differently and disagree on the owner.
+        catalog_entry = self._config.catalog.services.get(service)
+        data_centre = catalog_entry.data_centre if catalog_entry else ""
         members = self._mesh.members
         if joining:
-            return members_module.rank_owners(service, centre, [*members.serving(), *joining])
+            return members_module.rank_owners(service, data_centre, [*members.serving(), *joining])
         version = (members.version, self._config.catalog_revision)
-        if version != self._ranked_at:
+        if version != self._rankings_version:
             self._rankings.clear()
-            self._ranked_at = version
+            self._rankings_version = version
         if service not in self._rankings:
-            self._rankings[service] = members_module.rank_owners(service, centre, members.serving())
+            self._rankings[service] = members_module.rank_owners(
+                service, data_centre, members.serving()
+            )
         return self._rankings[service]
 
     def owns(self, service: str, joining: tuple[members_module.Member, ...] = ()) -> bool:
@@ -98,7 +100,7 @@
         """
         Submit parts; the replies of one event loop iteration are delivered in one batch.
 
-        :returns: cancels the unfinished parts
+        :returns: a function that cancels the unfinished parts
         """
         deadline_s = time.monotonic() + parts_request.remaining_s
         batch: list[part_module.PartReply] = []
@@ -125,13 +127,13 @@
         than the peers' silence limit, so pings go unanswered and the peers move the parts to other
         owners.
         """
-        for _ in range(_PARTS_PER_TURN):
+        for _ in range(_PARTS_PER_ITERATION):
             if pending.cancelled or not pending.unsubmitted:
                 return
             number, service, shard = pending.unsubmitted.popleft()
             part = self._make_part(pending, number, shard)
             queue = self.queues.get(service)
-            if self.leaving:
+            if self.draining:
                 self._counters.add("owner.part.refused.owner_leaving")
                 part.reply(part_module.PartReply(number, part_module.REFUSED, "owner_leaving"))
             elif queue is None:
@@ -157,7 +159,7 @@
             retries=parameters.retries,
             body=parameters.body,
             reply=pending.reply,
-            attempt_prefix=f"{parameters.query_id}.{number}.{self._settings.instance.name}",
+            attempt_id_prefix=f"{parameters.query_id}.{number}.{self._settings.instance.name}",
             fingerprint=pending.fingerprint,
         )
 
@@ -172,14 +174,14 @@
 
     async def _get_queue(self, service: str) -> service_queue.ServiceQueue:
         """Return a service's queue; concurrent requests open it once."""
-        if service not in self._opening:
-            self._opening[service] = self._tasks.start(self._open_queue(service))
-        return await asyncio.shield(self._opening[service])
+        if service not in self._open_tasks:
+            self._open_tasks[service] = self._tasks.start(self._open_queue(service))
+        return await asyncio.shield(self._open_tasks[service])
 
     async def _open_queue(self, service: str) -> service_queue.ServiceQueue:
-        limits = self._config.catalog.services.get(service)
-        connections = limits.connections if limits else 2
-        # While views differ, two instances may own a service, so each uses half the connections.
+        catalog_entry = self._config.catalog.services.get(service)
+        connections = catalog_entry.connections if catalog_entry else 2
+        # While instance lists differ, a service may have two owners: each uses half of these.
         stack = contextlib.AsyncExitStack()
         client = await stack.enter_async_context(target.connected(connections // 2, self._counters))
         policy = self._settings.policy
@@ -195,7 +197,7 @@
             policy.caller_share,
             self.suspects,
         )
-        queue.on_leaving = lambda instance: self._notify_leaving(service, instance)
+        queue.on_draining = lambda instance: self._notify_draining(service, instance)
         await self._refresh_replicas(service, queue, client)
         await stack.enter_async_context(
             tasks.background(self._poll_replicas(service, queue, client))
@@ -214,9 +216,9 @@
             await asyncio.sleep(period_s * self._rng.uniform(0.9, 1.1))
             await self._refresh_replicas(service, queue, client)
             await asyncio.gather(
-                *(self._check_health(client, each) for each in queue.replicas.values())
+                *(self._check_health(client, replica) for replica in queue.replicas.values())
             )
-            queue.pump()
+            queue.start_attempts()
 
     async def _refresh_replicas(
         self, service: str, queue: service_queue.ServiceQueue, client: target.Client
@@ -229,23 +231,23 @@
                 max(self._settings.platform.instances_poll_ms / 1000, 0.5),
             )
         except instances.InstancesError:
-            return  # what own attempts have shown is better than nothing
-        limits = self._config.catalog.services.get(service)
-        warming = []
+            return  # keeps the known replicas, with the state learned from own attempts
+        catalog_entry = self._config.catalog.services.get(service)
+        warm_ups = []
         for entry in listed:
             if self._generations.get(entry.instance) != entry.generation:
-                replica = self._new_replica(entry, limits.slots if limits else 1)
+                replica = self._new_replica(entry, catalog_entry.slots if catalog_entry else 1)
                 queue.replicas[entry.instance] = replica
                 if not replica.draining_reason:
-                    warming.append(client.warm(replica.address, int(replica.max_limit), 1.0))
+                    warm_ups.append(client.warm(replica.address, int(replica.max_limit), 1.0))
             if entry.leaving:
-                queue.mark_leaving(entry.instance, replica_module.LISTED_AS_LEAVING)
-        present = {entry.instance for entry in listed}
-        for instance in [name for name in queue.replicas if name not in present]:
+                queue.mark_draining(entry.instance, replica_module.LISTED_AS_LEAVING)
+        listed_names = {entry.instance for entry in listed}
+        for instance in [name for name in queue.replicas if name not in listed_names]:
             if not queue.replicas[instance].in_flight:
                 del queue.replicas[instance]
                 self._generations.pop(instance, None)
-        await asyncio.gather(*warming)
+        await asyncio.gather(*warm_ups)
 
     def _new_replica(self, entry: instances.ListedInstance, slots: int) -> replica_module.Replica:
         self._generations[entry.instance] = entry.generation
@@ -256,7 +258,7 @@
             float(slots),
             generation=entry.generation,
         )
-        if f"{entry.instance}#{entry.generation}" in self._leaving_targets:
+        if f"{entry.instance}#{entry.generation}" in self._draining_targets:
             replica.draining_reason = "told_by_peer"
         return replica
 
@@ -266,42 +268,42 @@
         if state != "ok" and not replica.suspected:
             replica.suspected = True
 
-    def _notify_leaving(self, service: str, instance: str) -> None:
+    def _notify_draining(self, service: str, instance: str) -> None:
         """
         Notify the next owners of the service that a target is draining.
 
-        The platform's list lags: an owner that takes over in the meantime would use it again.
+        The platform's list lags: an owner that takes over meanwhile would send it parts again.
         """
         events.emit("target.leaving", target=instance, service=service)
-        name = f"{instance}#{self._generations.get(instance, 0)}"
+        target_name = f"{instance}#{self._generations.get(instance, 0)}"
         for member in self.ranking(service)[: _STANDBY_OWNERS + 1]:
             link = self._mesh.link(member.instance)
             if link is not None and member.instance != self._mesh.members.own.instance:
-                link.send_one_way(lambda envelope: setattr(envelope, "targetLeaving", name))
+                link.send_one_way(lambda envelope: setattr(envelope, "targetLeaving", target_name))
 
     def _peer_names(self) -> list[str]:
-        own = self._mesh.members.own.instance
+        own_name = self._mesh.members.own.instance
         names = (member.instance for member in self._mesh.members.serving())
-        return [name for name in names if name != own]
+        return [name for name in names if name != own_name]
 
-    def _broadcast_suspects(self, content: bytes) -> None:
+    def _broadcast_suspects(self, message: bytes) -> None:
         for name in gossip.recipients(self._peer_names(), self._rng):
             link = self._mesh.link(name)
             if link is not None:
-                link.send_one_way(lambda envelope: setattr(envelope, "suspects", content))
+                link.send_one_way(lambda envelope: setattr(envelope, "suspects", message))
 
     def on_suspects(self, request: server_module.Request) -> None:
         """Merge the suspected requests reported by a peer."""
-        answer = self.suspects.merge_message(request.message.suspects)
+        correction = self.suspects.merge_message(request.message.suspects)
         link = self._mesh.link(request.peer)
-        if answer is not None and link is not None:
-            link.send_one_way(lambda envelope: setattr(envelope, "suspects", answer))
+        if correction is not None and link is not None:
+            link.send_one_way(lambda envelope: setattr(envelope, "suspects", correction))
 
     def on_target_leaving(self, request: server_module.Request) -> None:
-        """Mark a target as draining that another owner reports."""
-        name = request.message.targetLeaving
-        self._leaving_targets.add(name)
-        instance, _, generation = name.rpartition("#")
+        """Mark a target as draining when another owner reports it."""
+        target_name = request.message.targetLeaving
+        self._draining_targets.add(target_name)
+        instance, _, generation = target_name.rpartition("#")
         for queue in self.queues.values():
             replica = queue.replicas.get(instance)
             if replica is not None and str(self._generations.get(instance, 0)) == generation:
@@ -313,14 +315,14 @@
 
         def on_replies(replies: list[part_module.PartReply]) -> None:
             request.reply(
-                lambda envelope: submission.fill_replies(
+                lambda envelope: submission.encode_replies(
                     envelope, parts_request.parameters.query_id, replies
                 )
             )
 
         if self._config.freshness.tick():
             # This process was suspended. The remaining time in the request dates from before, so
-            # the parts may have expired. Refused, they go to an owner of the coordinator's choice.
+            # the parts may have expired. They are refused, and the coordinator picks another owner.
             on_replies(
                 [
                     part_module.PartReply(number, part_module.REFUSED, "resumed_after_gap")
@@ -348,13 +350,13 @@
         now_s = time.monotonic()
         for service, queue in list(self.queues.items()):
             if self.owns(service) or queue.queued() or queue.in_flight():
-                self._idle_since_s.pop(service, None)
-            elif now_s - self._idle_since_s.setdefault(service, now_s) > _UNOWNED_KEEP_S:
+                self._unowned_since_s.pop(service, None)
+            elif now_s - self._unowned_since_s.setdefault(service, now_s) > _UNOWNED_IDLE_S:
                 await self._close_queue(service)
 
     async def _close_queue(self, service: str) -> None:
-        self._idle_since_s.pop(service, None)
-        self._opening.pop(service, None)
+        self._unowned_since_s.pop(service, None)
+        self._open_tasks.pop(service, None)
         queue = self.queues.pop(service)
         for instance in queue.replicas:
             self._generations.pop(instance, None)
@@ -367,17 +369,17 @@
         :param joining: rank as if this instance were ready, to connect before the first part
         """
         own = self._mesh.members.own
-        missing = []
+        openings = []
         for service in self._config.catalog.services:
-            if service not in self._opening and self.owns(service, (own,) if joining else ()):
-                missing.append(self._get_queue(service))
-        await asyncio.gather(*missing)
+            if service not in self._open_tasks and self.owns(service, (own,) if joining else ()):
+                openings.append(self._get_queue(service))
+        await asyncio.gather(*openings)
 
     def drain(self) -> None:
-        """Refuse new parts and return the queued ones to their coordinators."""
-        self.leaving = True
+        """Refuse new parts and the queued ones, so that coordinators submit them elsewhere."""
+        self.draining = True
         for queue in self.queues.values():
-            queue.return_queued()
+            queue.refuse_queued()
 
     def in_flight(self) -> int:
         """Return the number of attempts in flight in all queues."""
@@ -386,8 +388,8 @@
     def load_permille(self) -> int:
         """Return queued parts and attempts in flight per slot, in thousandths."""
         slots = sum(queue.slots() for queue in self.queues.values())
-        work = sum(queue.in_flight() + queue.queued() for queue in self.queues.values())
-        return int(min(65535, 1000 * work / slots)) if slots else 0
+        load = sum(queue.in_flight() + queue.queued() for queue in self.queues.values())
+        return int(min(65535, 1000 * load / slots)) if slots else 0
 
     async def close(self) -> None:
         """Cancel running tasks and close the connections to targets."""
--- a/src/turmericlug/owner/part.py
+++ b/src/turmericlug/owner/part.py
@@ -24,7 +24,7 @@
     body: bytes = b""
     attempts: int = 0
     wait_ms: float = 0.0
-    """Predicted queue wait of a new part of the same caller and priority when the reply is sent."""
+    """Queue wait predicted at the time of the reply for a new part of this caller and priority."""
 
 
 @attrs.frozen(eq=False, slots=True)
@@ -32,7 +32,7 @@
     """One attempt of a part at a replica."""
 
     replica: replica_module.Replica
-    began_at_s: float
+    started_at_s: float
 
 
 @attrs.define(eq=False, slots=True)
@@ -50,17 +50,17 @@
     retries: int
     body: bytes
     reply: abc.Callable[[PartReply], None]
-    attempt_prefix: str
+    attempt_id_prefix: str
     fingerprint: bytes = b""
-    """Hash of the caller and the body: equal for repetitions of the same request by a caller."""
+    """Hash of the caller and the body: equal when a caller repeats a request."""
     on_trial: bool = False
-    """Whether the part is a trial: sent to one replica only, to see whether it crashes it."""
+    """Whether the part is a trial: sent to one target only, to see whether it crashes it."""
     queued_at_s: float = 0.0
     done: bool = False
-    attempts: int = 0
+    attempt_count: int = 0
     may_have_run: bool = False
-    running: dict[str, Attempt] = attrs.field(factory=dict)
-    tried: set[str] = attrs.field(factory=set)
+    attempts_in_flight: dict[str, Attempt] = attrs.field(factory=dict)
+    tried_replicas: set[str] = attrs.field(factory=set)
     hedge_timer: asyncio.TimerHandle | None = None
     hedged: bool = False
-    hedge_attempt: str = ""
+    hedge_attempt_id: str = ""
--- a/src/turmericlug/owner/policy.py
+++ b/src/turmericlug/owner/policy.py
@@ -1,7 +1,7 @@
 """
 Admission, backoff, ejection, concurrency limits and hedge delay.
 
-Functions of explicit inputs, and the small state that some of them need.
+The functions depend only on their arguments; the classes hold the state of some decisions.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 EJECTION_MAX_MS = 10000.0
 BACKOFF_BASE_MS = 4.0
 BACKOFF_MAX_MS = 100.0
-INITIAL_LIMIT = 1.0
+INITIAL_CONCURRENCY_LIMIT = 1.0
 REFUSE_NONE_BELOW = 0.1
 REFUSE_ALL_FROM = 0.35
 """
 Predicted queue wait as a share of a query's spare time: below the first no new query is refused,
 from the second every one.
 """
-LIMIT_INCREASE = 0.25
+CONCURRENCY_LIMIT_INCREASE = 0.25
 
 
-def predicted_wait_ms(ahead: int, slots: float, service_ms: float) -> float:
+def predicted_wait_ms(parts_ahead: int, slots: float, service_ms: float) -> float:
     """
     Estimate how long a part waits for a slot.
 
-    :param ahead: parts that are served before it, queued or in flight
+    :param parts_ahead: parts that are served before it, queued or in flight
     :param slots: sum of the concurrency limits of the replicas
     :param service_ms: mean service time of one part
     """
-    if ahead < slots:
+    if parts_ahead < slots:
         return 0.0
-    return (ahead - slots + 1) * service_ms / max(slots, 1.0)
+    return (parts_ahead - slots + 1) * service_ms / max(slots, 1.0)
 
 
 def fits_deadline(remaining_ms: float, wait_ms: float, service_ms: float) -> bool:
@@ -59,13 +59,15 @@
     If one of twenty owners refuses its part of a query, the work of the other nineteen is wasted.
     So the coordinators refuse whole queries first: none while the predicted wait is below a tenth
     (``REFUSE_NONE_BELOW``) of the spare time, all from ``REFUSE_ALL_FROM``, and a linearly growing
-    share between. A longer queue keeps the slots no busier and only makes every answer late.
+    share between. A longer queue only delays every answer: it keeps the slots no busier.
     """
     spare_ms = remaining_ms - service_ms
     if spare_ms <= 0:
         return 1.0
-    used = wait_ms / spare_ms
-    return min(max((used - REFUSE_NONE_BELOW) / (REFUSE_ALL_FROM - REFUSE_NONE_BELOW), 0.0), 1.0)
+    used_share = wait_ms / spare_ms
+    return min(
+        max((used_share - REFUSE_NONE_BELOW) / (REFUSE_ALL_FROM - REFUSE_NONE_BELOW), 0.0), 1.0
+    )
 
 
 def backoff_ms(attempt: int, rng: random.Random) -> float:
@@ -80,7 +82,7 @@
 
 def increased_limit(limit: float, max_limit: float) -> float:
     """Increase a concurrency limit after a success: by one slot per 4 * limit successes."""
-    return min(max_limit, limit + LIMIT_INCREASE / max(limit, 1.0))
+    return min(max_limit, limit + CONCURRENCY_LIMIT_INCREASE / max(limit, 1.0))
 
 
 def decreased_limit(limit: float) -> float:
@@ -97,19 +99,23 @@
     suspected: bool
 
 
-Choice = typing.TypeVar("Choice", bound=HasLoad)
+Candidate = typing.TypeVar("Candidate", bound=HasLoad)
 
 
-def least_loaded(candidates: abc.Iterable[Choice]) -> Choice | None:
+def least_loaded(candidates: abc.Iterable[Candidate]) -> Candidate | None:
     """
     Select the replica with a free slot that has the fewest attempts in flight, ties by latency.
 
     A suspected replica is selected only when no other has a free slot. A health check can be wrong
     either way, so it neither excludes the replica nor is ignored.
     """
-    free = [each for each in candidates if each.in_flight < math.floor(each.limit + 1e-9)]
+    with_free_slot = [
+        replica for replica in candidates if replica.in_flight < math.floor(replica.limit + 1e-9)
+    ]
     return min(
-        free, key=lambda each: (each.suspected, each.in_flight, each.latency_ms), default=None
+        with_free_slot,
+        key=lambda replica: (replica.suspected, replica.in_flight, replica.latency_ms),
+        default=None,
     )
 
 
@@ -130,7 +136,7 @@
         self.tokens = min(self.max_tokens, self.tokens + self.share)
 
     def try_spend(self) -> bool:
-        """Take one token; return whether a whole one was left."""
+        """Take one token if a whole one is left; return whether it was taken."""
         if self.tokens < 1.0 or not self.share:
             return False
         self.tokens -= 1.0
@@ -142,9 +148,9 @@
     """
     Factor on the percentile of recent durations after which a part is hedged.
 
-    If service times vary little, the first attempt of a part past the percentile is nearly done,
-    and a hedge only adds load. So each hedge that loses raises the factor and each one that wins
-    lowers it; the two balance when about one hedge in six wins.
+    If service times vary little, an attempt that is older than the percentile is nearly done, and a
+    hedge only adds load. So each hedge that loses raises the factor and each one that wins lowers
+    it; the two balance when about one hedge in six wins.
     """
 
     factor: float = 1.0
--- a/src/turmericlug/owner/replica.py
+++ b/src/turmericlug/owner/replica.py
@@ -19,20 +19,20 @@
     address: str
     data_centre: str
     max_limit: float
-    limit: float = policy.INITIAL_LIMIT
+    limit: float = policy.INITIAL_CONCURRENCY_LIMIT
     in_flight: int = 0
     latency_ms: float = 0.0
     draining_reason: str = ""
-    """Why the replica gets no new attempts; empty unless it is draining."""
+    """Why the replica is draining and gets no new attempts; empty otherwise."""
     suspected: bool = False
-    failures: int = 0
+    consecutive_failures: int = 0
     consecutive_ejections: int = 0
     ejected_until_s: float = 0.0
     last_answer_at_s: float = 0.0
     absent_snapshots: dict[str, float] = attrs.field(factory=dict)
     """Snapshots that the replica reported absent, each with the time of the report."""
     generation: int = 0
-    """Number of the start under this instance name, as the platform lists it."""
+    """Sequence number of the start under this instance name, from the platform's list."""
 
     def is_eligible(self, now_s: float) -> bool:
         """Whether it may get an attempt; after an ejection it is probed with one at a time."""
@@ -49,7 +49,7 @@
 
     def record_success(self, duration_ms: float) -> None:
         """Record an answer; ends an ejection."""
-        self.failures = self.consecutive_ejections = 0
+        self.consecutive_failures = self.consecutive_ejections = 0
         self.last_answer_at_s = time.monotonic()
         self.suspected = False
         self.limit = policy.increased_limit(self.limit, self.max_limit)
@@ -66,15 +66,15 @@
 
         :param may_eject: false for the last replica in use, which is better than none
         """
-        self.failures += 1
+        self.consecutive_failures += 1
         threshold = (
             1 if self.suspected or self.consecutive_ejections else policy.EJECT_AFTER_FAILURES
         )
-        if self.failures < threshold or not may_eject:
+        if self.consecutive_failures < threshold or not may_eject:
             return False
         self.consecutive_ejections += 1
-        self.failures = 0
-        self.limit = policy.INITIAL_LIMIT
+        self.consecutive_failures = 0
+        self.limit = policy.INITIAL_CONCURRENCY_LIMIT
         self.ejected_until_s = (
             time.monotonic() + policy.ejection_ms(self.consecutive_ejections) / 1000
         )
--- a/src/turmericlug/owner/selection.py
+++ b/src/turmericlug/owner/selection.py
@@ -13,7 +13,7 @@
 
 def not_draining(replicas: Replicas) -> list[replica_module.Replica]:
     """Return the replicas that are not draining."""
-    return [each for each in replicas if not each.draining_reason]
+    return [replica for replica in replicas if not replica.draining_reason]
 
 
 def eligible(replicas: Replicas, now_s: float) -> list[replica_module.Replica]:
@@ -24,44 +24,50 @@
     replica would fail every part for certain, and nothing would restart the queue.
     """
     candidates = not_draining(replicas)
-    return [each for each in candidates if each.is_eligible(now_s)] or candidates
+    return [replica for replica in candidates if replica.is_eligible(now_s)] or candidates
 
 
 def total_slots(replicas: Replicas, now_s: float) -> float:
     """Return the sum of the concurrency limits of the eligible replicas."""
-    return sum(each.limit for each in eligible(replicas, now_s))
+    return sum(replica.limit for replica in eligible(replicas, now_s))
 
 
 def select_untried(
     replicas: Replicas, now_s: float, part: part_module.Part | None
 ) -> replica_module.Replica | None:
-    """Select a replica with a free slot, among those that have not had the part, if given."""
+    """Select a replica with a free slot; given a part, only one that has not had it."""
     return policy.least_loaded(
-        each
-        for each in eligible(replicas, now_s)
+        replica
+        for replica in eligible(replicas, now_s)
         if part is None
-        or (each.instance not in part.tried and not each.lacks_snapshot(part.snapshot, now_s))
+        or (
+            replica.instance not in part.tried_replicas
+            and not replica.lacks_snapshot(part.snapshot, now_s)
+        )
     )
 
 
 def select_for_retry(
     replicas: Replicas, now_s: float, part: part_module.Part
 ) -> replica_module.Replica | None:
-    """Select a replica with a free slot for the retry of a part, whether or not it has had it."""
-    if not part.tried or part.running:
+    """Select a replica with a free slot for the retry of a part, even one that has had it."""
+    if not part.tried_replicas or part.attempts_in_flight:
         return None
     return policy.least_loaded(
-        each for each in eligible(replicas, now_s) if not each.lacks_snapshot(part.snapshot, now_s)
+        replica
+        for replica in eligible(replicas, now_s)
+        if not replica.lacks_snapshot(part.snapshot, now_s)
     )
 
 
 def may_hold_snapshot(replicas: Replicas, now_s: float, snapshot: str) -> bool:
     """Whether any replica that is not draining may hold a snapshot."""
-    return any(not each.lacks_snapshot(snapshot, now_s) for each in not_draining(replicas))
+    return any(not replica.lacks_snapshot(snapshot, now_s) for replica in not_draining(replicas))
 
 
 def has_alternative(replicas: Replicas, now_s: float, excluded: replica_module.Replica) -> bool:
     """Whether a replica other than the given one is neither draining nor ejected."""
     return any(
-        each is not excluded and each.ejected_until_s <= now_s for each in not_draining(replicas)
+        replica is not excluded and replica.ejected_until_s <= now_s
+        for replica in not_draining(replicas)
     )
--- a/src/turmericlug/owner/service_queue.py
+++ b/src/turmericlug/owner/service_queue.py
@@ -20,7 +20,7 @@
 from turmericlug.telemetry import counters as counters_module
 
 # No attempt starts with less time to its deadline: it could not be sent and answered.
-_MIN_TIME_S = 0.001
+_MIN_REMAINING_S = 0.001
 
 
 class ServiceQueue:
@@ -55,7 +55,7 @@
         self._queue: fair_queue.FairQueue[part_module.Part] = fair_queue.FairQueue()
         self._pending_hedges: collections.deque[part_module.Part] = collections.deque()
         self._tasks = tasks.Tasks()
-        self.on_leaving: abc.Callable[[str], None] = lambda instance: None
+        self.on_draining: abc.Callable[[str], None] = lambda instance: None
 
     def slots(self) -> float:
         """Return the sum of the concurrency limits of the eligible replicas."""
@@ -63,7 +63,7 @@
 
     def in_flight(self) -> int:
         """Return the number of attempts in flight."""
-        return sum(each.in_flight for each in self.replicas.values())
+        return sum(replica.in_flight for replica in self.replicas.values())
 
     def queued(self) -> int:
         """Return the number of parts that wait for a slot."""
@@ -71,8 +71,8 @@
 
     def wait_ms(self, priority: int, caller: str) -> float:
         """Predict how long a new part would wait for a slot."""
-        ahead = self._queue.count_ahead_of(priority, caller) + self.in_flight()
-        return policy.predicted_wait_ms(ahead, self.slots(), self.durations.mean_ms)
+        parts_ahead = self._queue.count_ahead_of(priority, caller) + self.in_flight()
+        return policy.predicted_wait_ms(parts_ahead, self.slots(), self.durations.mean_ms)
 
     def submit(self, part: part_module.Part) -> None:
         """
@@ -101,7 +101,7 @@
         self._hedging.hedge_budget.deposit()
         self._retry_budget.deposit()
         self._queue.push(part)
-        self.pump()
+        self.start_attempts()
 
     def _may_start(self, part: part_module.Part) -> bool:
         """Whether a part may start; finishes it if its request is withheld for crashing targets."""
@@ -130,36 +130,38 @@
         self._counters.add(f"owner.part.failed.{reason}")
         self._finish(
             part,
-            part_module.PartReply(part.number, part_module.FAILED, reason, attempts=part.attempts),
+            part_module.PartReply(
+                part.number, part_module.FAILED, reason, attempts=part.attempt_count
+            ),
         )
 
     def _finish(self, part: part_module.Part, reply: part_module.PartReply) -> None:
         if part.done:
             return
-        self._end(part)
+        self._mark_done(part)
         part.reply(reply)
 
-    def _end(self, part: part_module.Part) -> None:
-        """End a part: no further attempt starts, and those in flight are cancelled."""
+    def _mark_done(self, part: part_module.Part) -> None:
+        """Mark a part as done: no further attempt starts, and those in flight are cancelled."""
         part.done = True
         if part.hedge_timer is not None:
             part.hedge_timer.cancel()
-        for name, attempt in part.running.items():
-            self._tasks.start(self._client.cancel(attempt.replica.address, name))
+        for attempt_id, attempt in part.attempts_in_flight.items():
+            self._tasks.start(self._client.cancel(attempt.replica.address, attempt_id))
 
     def cancel(self, part: part_module.Part) -> None:
         """Cancel a part that is no longer needed."""
         if not part.done:
             self._counters.add("owner.part.cancelled")
-            self._end(part)
+            self._mark_done(part)
 
-    def return_queued(self) -> None:
+    def refuse_queued(self) -> None:
         """Refuse the queued parts, so that coordinators submit them to the next owner."""
         for part in self._queue.drain():
             self._counters.add("owner.handed_over")
             self._finish_unanswered(part, "owner_leaving")
 
-    def pump(self) -> None:
+    def start_attempts(self) -> None:
         """Start attempts while there are queued parts and free slots."""
         now_s = time.monotonic()
         self._start_hedges(now_s)
@@ -170,7 +172,7 @@
             part = self._queue.pop()
             if part is None:
                 return
-            if part.deadline_s - now_s < _MIN_TIME_S:
+            if part.deadline_s - now_s < _MIN_REMAINING_S:
                 self._finish_unanswered(part, "expired_in_queue")
                 continue
             if not self._may_start(part):
@@ -179,7 +181,7 @@
             if chosen is None:
                 self._on_no_replica(part, now_s)
                 continue
-            self._dispatch(part, chosen, now_s)
+            self._start_attempt(part, chosen, now_s)
 
     def _start_hedges(self, now_s: float) -> None:
         """
@@ -188,22 +190,22 @@
         Hedges that get only otherwise unused slots starve exactly when replicas are busy, which is
         when stragglers do the most harm.
         """
-        count = len(self._pending_hedges)
-        for _ in range(count):
+        pending_count = len(self._pending_hedges)
+        for _ in range(pending_count):
             part = self._pending_hedges.popleft()
-            if part.done or not part.running or self._suspects.is_withheld(part):
+            if part.done or not part.attempts_in_flight or self._suspects.is_withheld(part):
                 continue
             replica = selection.select_untried(self.replicas.values(), now_s, part)
             if replica is None:
                 self._pending_hedges.append(part)
                 continue
             self._counters.add("owner.hedge.sent")
-            part.hedge_attempt = self._dispatch(part, replica, now_s)
+            part.hedge_attempt_id = self._start_attempt(part, replica, now_s)
 
     def _select_replica(
         self, now_s: float, part: part_module.Part
     ) -> replica_module.Replica | None:
-        """Select a replica for a part, one that has had it already only if there is no other."""
+        """Select a replica for a part; one that has had it only if there is no other."""
         replicas = self.replicas.values()
         return selection.select_untried(replicas, now_s, part) or selection.select_for_retry(
             replicas, now_s, part
@@ -226,7 +228,7 @@
     def _requeue(self, part: part_module.Part) -> None:
         if not part.done:
             self._queue.push(part)
-            self.pump()
+            self.start_attempts()
 
     def _finish_unanswered(self, part: part_module.Part, reason: str) -> None:
         """Finish a part without an answer: failed if it may have run, refused otherwise."""
@@ -235,22 +237,22 @@
         else:
             self._refuse(part, reason, self.wait_ms(part.priority, part.caller))
 
-    def _dispatch(
+    def _start_attempt(
         self, part: part_module.Part, replica: replica_module.Replica, now_s: float
     ) -> str:
         """Start an attempt; return its identifier."""
-        if not part.attempts:
+        if not part.attempt_count:
             self._counters.time_ms("owner.queue_ms", (now_s - part.queued_at_s) * 1000)
-        part.attempts += 1
-        part.tried.add(replica.instance)
-        attempt = f"{part.attempt_prefix}.{part.attempts}"
-        part.running[attempt] = part_module.Attempt(replica, now_s)
+        part.attempt_count += 1
+        part.tried_replicas.add(replica.instance)
+        attempt_id = f"{part.attempt_id_prefix}.{part.attempt_count}"
+        part.attempts_in_flight[attempt_id] = part_module.Attempt(replica, now_s)
         replica.in_flight += 1
-        self._arm_hedge(part)
-        self._tasks.start(self._run_attempt(part, replica, attempt))
-        return attempt
+        self._start_hedge_timer(part)
+        self._tasks.start(self._run_attempt(part, replica, attempt_id))
+        return attempt_id
 
-    def _arm_hedge(self, part: part_module.Part) -> None:
+    def _start_hedge_timer(self, part: part_module.Part) -> None:
         if not (part.hedge and part.repeatable) or part.hedged or len(self.replicas) < 2:
             return
         delay_ms = self._hedging.delay_ms()
@@ -260,11 +262,11 @@
             )
 
     def _on_hedge_timer(self, part: part_module.Part) -> None:
-        if part.done or part.hedged or not part.running:
+        if part.done or part.hedged or not part.attempts_in_flight:
             return
-        if not self._hedging.try_spend(list(part.running.values()), time.monotonic()):
+        if not self._hedging.try_spend(list(part.attempts_in_flight.values()), time.monotonic()):
             self._counters.add("owner.hedge.denied")
-            # Checked again at the age from which the attempt may be stuck.
+            # Checked again when the attempt may be stuck.
             delay_s = self._hedging.stuck_after_ms() / 1000
             part.hedge_timer = asyncio.get_running_loop().call_later(
                 delay_s, self._on_hedge_timer, part
@@ -272,32 +274,32 @@
             return
         part.hedged = True
         self._pending_hedges.append(part)
-        self.pump()
+        self.start_attempts()
 
     async def _run_attempt(
-        self, part: part_module.Part, replica: replica_module.Replica, attempt: str
+        self, part: part_module.Part, replica: replica_module.Replica, attempt_id: str
     ) -> None:
-        began_at_s = time.monotonic()
+        started_at_s = time.monotonic()
         outcome: target.Outcome = target.Unknown("cancelled")
         try:
             outcome = await self._client.run(
                 replica.address,
-                attempt,
+                attempt_id,
                 part.snapshot,
                 part.shard,
                 part.body,
-                part.deadline_s - began_at_s,
+                part.deadline_s - started_at_s,
             )
         finally:
             replica.in_flight -= 1
-            part.running.pop(attempt, None)
-        duration_ms = (time.monotonic() - began_at_s) * 1000
+            part.attempts_in_flight.pop(attempt_id, None)
+        duration_ms = (time.monotonic() - started_at_s) * 1000
         self._counters.time_ms("owner.target_ms", duration_ms)
         self._update_replica(replica, part, outcome, duration_ms)
         await self._suspects.record_outcome(part, replica, outcome, self._client)
         if not part.done:
-            self._apply_outcome(part, replica, outcome, attempt)
-        self.pump()
+            self._apply_outcome(part, replica, outcome, attempt_id)
+        self.start_attempts()
 
     def _update_replica(
         self,
@@ -313,7 +315,7 @@
             case target.NotRun(reason="cancelled") | target.Unknown(reason="cancelled"):
                 pass
             case target.NotRun(reason="draining"):
-                self.mark_leaving(replica.instance, "draining")
+                self.mark_draining(replica.instance, "draining")
             case target.NotRun(reason="connect_failed"):
                 self._record_failure(replica)
             case target.NotRun():
@@ -321,7 +323,7 @@
             case target.SnapshotAbsent():
                 replica.absent_snapshots[part.snapshot] = time.monotonic()
             case target.Unknown(reason="timeout") if duration_ms < 4 * self.durations.mean_ms:
-                pass  # a short deadline of the caller is no failure of the replica
+                pass  # the caller's deadline was too short; the replica did not fail
             case target.Unknown():
                 self._record_failure(replica)
 
@@ -331,26 +333,26 @@
         if replica.record_failure(may_eject=has_alternative):
             self._counters.add("owner.ejected")
 
-    def mark_leaving(self, instance: str, reason: str) -> None:
-        """Stop giving a replica new attempts; the first time, notify the peers."""
+    def mark_draining(self, instance: str, reason: str) -> None:
+        """Send a replica no new attempts; the first time, notify the peers."""
         replica = self.replicas.get(instance)
         if replica is not None and not replica.draining_reason:
             replica.draining_reason = reason
-            self.on_leaving(instance)
+            self.on_draining(instance)
 
     def _apply_outcome(
         self,
         part: part_module.Part,
         replica: replica_module.Replica,
         outcome: target.Outcome,
-        attempt: str,
+        attempt_id: str,
     ) -> None:
-        """Finish the part by the outcome of an attempt, or start another attempt."""
+        """Finish the part with the outcome of an attempt, or start another attempt."""
         match outcome:
             case target.Answered():
                 self._record_stuck_attempts(part)
-                if part.hedge_attempt:
-                    won = attempt == part.hedge_attempt
+                if part.hedge_attempt_id:
+                    won = attempt_id == part.hedge_attempt_id
                     self._hedging.delay.record_result(won)
                     self._counters.add("owner.hedge.won" if won else "owner.hedge.lost")
                 self._counters.add("owner.part.answered")
@@ -361,11 +363,11 @@
                         part_module.ANSWERED,
                         snapshot=outcome.snapshot,
                         body=outcome.body,
-                        attempts=part.attempts,
+                        attempts=part.attempt_count,
                         wait_ms=self.wait_ms(part.priority, part.caller),
                     ),
                 )
-            case _ if part.running:
+            case _ if part.attempts_in_flight:
                 return  # another attempt in flight may still be answered
             case target.SnapshotAbsent():
                 self._requeue(part)
@@ -379,9 +381,9 @@
         """
         Record a failure for each slower attempt that looks stuck.
 
-        Its own failure would show only seconds later.
+        Otherwise the failure would be noticed only seconds later.
         """
-        for attempt in part.running.values():
+        for attempt in part.attempts_in_flight.values():
             if self._hedging.looks_stuck(attempt, time.monotonic()):
                 self._record_failure(attempt.replica)
 
@@ -391,22 +393,22 @@
 
         No other layer retries a part: retries at several layers multiply.
         """
-        denied = ""
+        denied_reason = ""
         if part.may_have_run and not part.repeatable:
-            denied = "not_repeatable"
+            denied_reason = "not_repeatable"
         elif self._suspects.is_withheld(part):
-            denied = suspects_module.CRASHES_TARGETS
-        elif part.attempts > part.retries:
-            denied = "used_up"
-        elif time.monotonic() + _MIN_TIME_S > part.deadline_s:
-            denied = "deadline"
+            denied_reason = suspects_module.CRASHES_TARGETS
+        elif part.attempt_count > part.retries:
+            denied_reason = "used_up"
+        elif time.monotonic() + _MIN_REMAINING_S > part.deadline_s:
+            denied_reason = "deadline"
         elif not self._retry_budget.try_spend():
-            denied = "budget"
-        if not denied:
+            denied_reason = "budget"
+        if not denied_reason:
             self._counters.add(f"owner.retry.{reason}")
-            self._requeue_after(part, policy.backoff_ms(part.attempts, self._rng) / 1000)
+            self._requeue_after(part, policy.backoff_ms(part.attempt_count, self._rng) / 1000)
             return
-        self._counters.add(f"owner.retry_denied.{denied}")
+        self._counters.add(f"owner.retry_denied.{denied_reason}")
         self._finish_unanswered(part, reason)
 
     async def close(self) -> None:
--- a/src/turmericlug/owner/submission.py
+++ b/src/turmericlug/owner/submission.py
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class PartsRequest:
-    """Parts that a coordinator submits to one owner; ``parts`` has number, service and shard."""
+    """Parts that a coordinator submits to one owner, each as number, service and shard."""
 
     parameters: QueryParameters
     snapshot: str
@@ -36,8 +36,8 @@
     parts: tuple[tuple[int, str, str], ...]
 
 
-def fill_parts(envelope: typing.Any, parts_request: PartsRequest) -> None:
-    """Write a request with parts into an envelope."""
+def encode_parts(envelope: typing.Any, parts_request: PartsRequest) -> None:
+    """Encode a request with parts into an envelope."""
     parameters = parts_request.parameters
     message = envelope.init("parts")
     message.queryId = parameters.query_id
@@ -49,15 +49,17 @@
     message.retries = parameters.retries
     message.caller = parameters.caller
     message.body = parameters.body
-    items = message.init("parts", len(parts_request.parts))
-    for item, (number, service, shard) in zip(items, parts_request.parts, strict=True):
-        item.number = number
-        item.service = service
-        item.shard = shard
+    part_messages = message.init("parts", len(parts_request.parts))
+    for part_message, (number, service, shard) in zip(
+        part_messages, parts_request.parts, strict=True
+    ):
+        part_message.number = number
+        part_message.service = service
+        part_message.shard = shard
 
 
 def decode_parts(message: typing.Any) -> PartsRequest:
-    """Read a request with parts."""
+    """Decode a request with parts."""
     parameters = QueryParameters(
         query_id=message.queryId,
         caller=message.caller,
@@ -67,25 +69,27 @@
         retries=message.retries,
         body=message.body,
     )
-    parts = tuple((each.number, each.service, each.shard) for each in message.parts)
+    parts = tuple((part.number, part.service, part.shard) for part in message.parts)
     return PartsRequest(parameters, message.snapshot, message.remainingMs / 1000, parts)
 
 
-def fill_replies(envelope: typing.Any, query_id: str, replies: list[part_module.PartReply]) -> None:
-    """Write replies to parts of one query into an envelope."""
+def encode_replies(
+    envelope: typing.Any, query_id: str, replies: list[part_module.PartReply]
+) -> None:
+    """Encode replies to parts of one query into an envelope."""
     message = envelope.init("partsReply")
     message.queryId = query_id
-    items = message.init("replies", len(replies))
+    reply_messages = message.init("replies", len(replies))
     for index, reply in enumerate(replies):
-        item = items[index]
-        item.number = reply.number
-        item.outcome = reply.outcome
-        item.reason = reply.reason
-        item.snapshot = reply.snapshot
-        item.comeBackMs = reply.retry_after_ms
-        item.body = reply.body
-        item.attempts = reply.attempts
-        item.waitMs = reply.wait_ms
+        reply_message = reply_messages[index]
+        reply_message.number = reply.number
+        reply_message.outcome = reply.outcome
+        reply_message.reason = reply.reason
+        reply_message.snapshot = reply.snapshot
+        reply_message.comeBackMs = reply.retry_after_ms
+        reply_message.body = reply.body
+        reply_message.attempts = reply.attempts
+        reply_message.waitMs = reply.wait_ms
 
 
 @attrs.define(eq=False)
--- a/src/turmericlug/owner/suspects.py
+++ b/src/turmericlug/owner/suspects.py
@@ -1,7 +1,7 @@
 """
 Requests that crash targets, as observed by an owner.
 
-An owner handles all sends to its services, but a query goes to services of many owners. Each
+An owner makes all attempts at its services, but a query goes to services of many owners. Each
 reports the crashes that it observes to the others, so that they are counted together.
 """
 
@@ -43,7 +43,7 @@
         self._counters = counters
         self._broadcast = broadcast
         self._must_forward = must_forward
-        self._published: set[poison.Fingerprint] = set()
+        self._reported: set[poison.Fingerprint] = set()
         """Requests that this instance has reported."""
 
     def verdict(self, request: poison.Fingerprint) -> poison.Verdict:
@@ -83,15 +83,15 @@
         """
         Record the outcome of an attempt.
 
-        Awaited before the part is sent to another target: otherwise the part crashed that one as
-        well before the first crash was known.
+        Awaited before the part is sent to another target, which it might otherwise crash as well
+        before the first crash is known.
         """
         if isinstance(outcome, target_module.Answered):
             self.record_answer(part.fingerprint)
         elif outcome == target_module.CONNECTION_LOST:
-            if await client.refuses(replica.address, PROBE_TIMEOUT_S):
-                process = f"{replica.instance}@{replica.generation}"
-                self.record_crash(part.fingerprint, process, part.on_trial)
+            if await client.refuses_connections(replica.address, PROBE_TIMEOUT_S):
+                crashed_target = f"{replica.instance}@{replica.generation}"
+                self.record_crash(part.fingerprint, crashed_target, part.on_trial)
         elif part.on_trial and isinstance(outcome, target_module.NotRun):
             self.table.cancel_trial(part.fingerprint, time.monotonic())
 
@@ -99,25 +99,25 @@
         """Record that a target has answered a request."""
         if self.table.record_answer(request, time.monotonic()):
             self._counters.add("poison.cleared")
-            self._publish(request)
+            self._report(request)
 
     def record_crash(self, request: poison.Fingerprint, target: str, on_trial: bool) -> None:
         """Record that a target crashed while it had a request."""
-        before = self.verdict(request)
+        verdict_before = self.verdict(request)
         self.table.record_crash(request, target, time.monotonic(), on_trial)
         self._counters.add("poison.ended")
-        self._report_verdict(request, before)
-        self._publish(request)
+        self._log_verdict(request, verdict_before)
+        self._report(request)
 
     def begin_trial(self, request: poison.Fingerprint) -> bool:
         """Begin the trial of a suspected request; false while another one is in progress."""
         if not self.table.begin_trial(request, time.monotonic()):
             return False
         self._counters.add("poison.trial")
-        self._publish(request)
+        self._report(request)
         return True
 
-    def merge_message(self, content: bytes) -> bytes | None:
+    def merge_message(self, message: bytes) -> bytes | None:
         """
         Merge a report of another instance.
 
@@ -126,7 +126,7 @@
         """
         now_s = time.monotonic()
         try:
-            report = suspects_codec.decode(content, now_s)
+            report = suspects_codec.decode(message, now_s)
         except suspects_codec.MessageError as error:
             events.emit("poison.unreadable", "warning", reason=str(error))
             return None
@@ -141,30 +141,30 @@
         self, request: poison.Fingerprint, record: poison.Record, now_s: float
     ) -> None:
         """Merge one record, and forward a change where that is required."""
-        before = self.verdict(request)
+        verdict_before = self.verdict(request)
         if not self.table.merge_report(request, record, now_s):
             return
         self._counters.add("poison.learned")
-        self._report_verdict(request, before)
-        if request in self._published or self._must_forward():
-            self._publish(request)
+        self._log_verdict(request, verdict_before)
+        if request in self._reported or self._must_forward():
+            self._report(request)
 
     def expire(self) -> None:
         """Drop expired records."""
         expired = self.table.expire(time.monotonic())
-        self._published &= self.table.records.keys()
+        self._reported &= self.table.records.keys()
         self._counters.add("poison.forgotten", expired)
 
-    def _report_verdict(self, request: poison.Fingerprint, before: poison.Verdict) -> None:
+    def _log_verdict(self, request: poison.Fingerprint, verdict_before: poison.Verdict) -> None:
         verdict = self.verdict(request)
-        if verdict is not before:
+        if verdict is not verdict_before:
             self._counters.add(f"poison.verdict.{verdict.value}")
-            ends = sorted(self.table.records[request].crashes)
-            events.emit(f"poison.{verdict.value}", "warning", content=request.hex(), ends=ends)
+            crashes = sorted(self.table.records[request].crashes)
+            events.emit(f"poison.{verdict.value}", "warning", content=request.hex(), ends=crashes)
 
-    def _publish(self, request: poison.Fingerprint) -> None:
+    def _report(self, request: poison.Fingerprint) -> None:
         record = self.table.records.get(request)
         if record is not None:
-            self._published.add(request)
-            suspects = suspects_codec.Suspects({request: record})
-            self._broadcast(suspects_codec.encode(suspects, time.monotonic()))
+            self._reported.add(request)
+            report = suspects_codec.Suspects({request: record})
+            self._broadcast(suspects_codec.encode(report, time.monotonic()))
--- a/src/turmericlug/owner/target.py
+++ b/src/turmericlug/owner/target.py
@@ -21,7 +21,7 @@
 NOT_RUN_HEADER = "Query-Not-Run"
 CANCELLED_STATUS = 499
 """Status of an attempt that the target had started and then cancelled on request."""
-CANCEL_GRACE_S = 0.05
+CANCEL_TIMEOUT_S = 0.05
 KEEP_ALIVE_S = 3600.0
 MAX_REPLY_BYTES = 4 << 20
 
@@ -69,7 +69,7 @@
     async def run(
         self,
         address: str,
-        attempt: str,
+        attempt_id: str,
         snapshot: str,
         shard: str,
         body: bytes,
@@ -82,11 +82,11 @@
         retries idempotent methods by itself, and a part that must not be repeated would run twice.
 
         :param address: ``http://host:port``
-        :param attempt: identifier that the response must echo
+        :param attempt_id: identifier that the response must echo
         :param remaining_s: time to the deadline; sent to the target as well
         """
         headers = {
-            ATTEMPT_HEADER: attempt,
+            ATTEMPT_HEADER: attempt_id,
             SNAPSHOT_HEADER: snapshot,
             SHARD_HEADER: shard,
             DEADLINE_MS_HEADER: str(max(1, int(remaining_s * 1000))),
@@ -97,7 +97,7 @@
                 async with self._session.post(
                     f"{address}/v1/run", data=body, headers=headers
                 ) as response:
-                    return await self._outcome(response, attempt, snapshot)
+                    return await self._read_outcome(response, attempt_id, snapshot)
         except aiohttp.ClientConnectorError:
             return NotRun("connect_failed")
         except TimeoutError:
@@ -107,14 +107,14 @@
         except (aiohttp.ClientError, OSError):
             return CONNECTION_LOST
 
-    async def _outcome(
-        self, response: aiohttp.ClientResponse, attempt: str, snapshot: str
+    async def _read_outcome(
+        self, response: aiohttp.ClientResponse, attempt_id: str, snapshot: str
     ) -> Outcome:
         body = await response.read()
         # A response with the identifier of another attempt belongs to another request, for example
-        # to an earlier one on this connection that timed out. The connection is closed with it:
-        # all later responses on it would be off by one as well.
-        if response.headers.get(ATTEMPT_HEADER) != attempt:
+        # to an earlier one on this connection that timed out. The connection is closed, because all
+        # later responses on it would be off by one as well.
+        if response.headers.get(ATTEMPT_HEADER) != attempt_id:
             self._counters.add("owner.mismatched_reply")
             response.close()
             return Unknown("mismatched_reply")
@@ -132,12 +132,12 @@
             return Unknown("cancelled")
         return Unknown(f"status_{response.status}")
 
-    async def cancel(self, address: str, attempt: str) -> None:
+    async def cancel(self, address: str, attempt_id: str) -> None:
         """Ask a target to cancel an attempt; the target then answers the attempt at once."""
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
-            async with asyncio.timeout(CANCEL_GRACE_S):
+            async with asyncio.timeout(CANCEL_TIMEOUT_S):
                 async with self._session.post(
-                    f"{address}/v1/cancel", headers={ATTEMPT_HEADER: attempt}
+                    f"{address}/v1/cancel", headers={ATTEMPT_HEADER: attempt_id}
                 ) as response:
                     await response.read()
 
@@ -146,12 +146,12 @@
         try:
             async with asyncio.timeout(timeout_s):
                 async with self._session.get(f"{address}/v1/health") as response:
-                    plain = await response.json()
-                    return str(plain.get("state", "")) if isinstance(plain, dict) else ""
+                    payload = await response.json()
+                    return str(payload.get("state", "")) if isinstance(payload, dict) else ""
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError):
             return ""
 
-    async def refuses(self, address: str, timeout_s: float) -> bool:
+    async def refuses_connections(self, address: str, timeout_s: float) -> bool:
         """Whether a replica refuses connections, as after a crash."""
         try:
             async with asyncio.timeout(timeout_s):
@@ -184,23 +184,25 @@
 
     :param connections: maximum number of connections to each replica
     """
-    trace = aiohttp.TraceConfig()
+    trace_config = aiohttp.TraceConfig()
 
-    async def on_start(session: typing.Any, context: typing.Any, params: typing.Any) -> None:
-        context.began_at_s = time.monotonic()
+    async def on_connect_start(
+        session: typing.Any, context: typing.Any, params: typing.Any
+    ) -> None:
+        context.started_at_s = time.monotonic()
 
-    async def on_end(session: typing.Any, context: typing.Any, params: typing.Any) -> None:
+    async def on_connect_end(session: typing.Any, context: typing.Any, params: typing.Any) -> None:
         counters.add("owner.connections_opened")
-        counters.time_ms("owner.connect_ms", (time.monotonic() - context.began_at_s) * 1000)
+        counters.time_ms("owner.connect_ms", (time.monotonic() - context.started_at_s) * 1000)
 
-    trace.on_connection_create_start.append(on_start)
-    trace.on_connection_create_end.append(on_end)
+    trace_config.on_connection_create_start.append(on_connect_start)
+    trace_config.on_connection_create_end.append(on_connect_end)
     connector = aiohttp.TCPConnector(
         limit=0, limit_per_host=connections, keepalive_timeout=KEEP_ALIVE_S
     )
     async with aiohttp.ClientSession(
         connector=connector,
-        trace_configs=[trace],
+        trace_configs=[trace_config],
         timeout=aiohttp.ClientTimeout(total=None),
         auto_decompress=False,
     ) as session:
--- a/src/turmericlug/query/fan_out.py
+++ b/src/turmericlug/query/fan_out.py
@@ -156,7 +156,7 @@
 
         try:
             request_id = link.send(
-                lambda envelope: submission.fill_parts(envelope, self._parts_request(numbers)),
+                lambda envelope: submission.encode_parts(envelope, self._parts_request(numbers)),
                 on_reply,
             )
         except link_module.LinkError:
--- a/tests/mutants_daemon.py
+++ b/tests/mutants_daemon.py
@@ -21,8 +21,8 @@
     mutant.one(
         "no-attempt-check",
         "owner/target.py",
-        "if response.headers.get(ATTEMPT_HEADER) != attempt:",
-        "if not attempt:",
+        "if response.headers.get(ATTEMPT_HEADER) != attempt_id:",
+        "if not attempt_id:",
         "integration/test_own_answer.py::test_replies_go_wrong[crossed]",
     ),
     mutant.one(
@@ -133,8 +133,8 @@
     mutant.one(
         "no-ejection",
         "owner/replica.py",
-        "if self.failures < threshold or not may_eject:",
-        "if self.failures >= 0:",
+        "if self.consecutive_failures < threshold or not may_eject:",
+        "if self.consecutive_failures >= 0:",
         "integration/test_leaving_target.py::test_crashed_target",
     ),
     mutant.one(
--- a/tests/owner/test_fair_queue.py
+++ b/tests/owner/test_fair_queue.py
@@ -54,8 +54,8 @@
         )
     )
 )
-def test_every_item_is_served_once_in_order_of_priority(entries):
-    items = [Item(*entry) for entry in entries]
+def test_every_item_is_served_once_in_order_of_priority(item_fields):
+    items = [Item(*fields) for fields in item_fields]
     served = served_order(items)
     assert sorted(map(id, served)) == sorted(map(id, items))
     priorities = [item.priority for item in served]
--- a/tests/owner/test_policy.py
+++ b/tests/owner/test_policy.py
@@ -17,11 +17,11 @@
 
 
 @pytest.mark.parametrize(
-    ("ahead", "slots", "service_ms", "wait_ms"),
+    ("parts_ahead", "slots", "service_ms", "wait_ms"),
     [(0, 4, 10, 0), (3, 4, 10, 0), (4, 4, 10, 2.5), (11, 4, 10, 20), (3, 0, 10, 40)],
 )
-def test_predicted_wait(ahead, slots, service_ms, wait_ms):
-    assert policy.predicted_wait_ms(ahead, slots, service_ms) == wait_ms
+def test_predicted_wait(parts_ahead, slots, service_ms, wait_ms):
+    assert policy.predicted_wait_ms(parts_ahead, slots, service_ms) == wait_ms
 
 
 @pytest.mark.parametrize(
@@ -53,17 +53,17 @@
     ],
 )
 def test_least_loaded(loads, selected):
-    found = policy.least_loaded(loads)
-    assert found is (None if selected is None else loads[selected])
+    result = policy.least_loaded(loads)
+    assert result is (None if selected is None else loads[selected])
 
 
 def test_budget_allows_its_share_of_extra_attempts():
     budget = policy.TokenBudget(0.05)
-    allowed = 0
+    allowed_count = 0
     for _ in range(10000):
         budget.deposit()
-        allowed += budget.try_spend()
-    assert 490 <= allowed <= 502
+        allowed_count += budget.try_spend()
+    assert 490 <= allowed_count <= 502
 
 
 def test_budget_with_a_share_of_zero_allows_nothing():
@@ -90,11 +90,11 @@
 
 def test_percentile_needs_twenty_durations():
     window = policy.DurationWindow()
-    for number in range(19):
-        window.add(number)
+    for duration_ms in range(19):
+        window.add(duration_ms)
     assert window.percentile_ms(95) is None
-    for number in range(200):
-        window.add(number)
+    for duration_ms in range(200):
+        window.add(duration_ms)
     assert 180 <= window.percentile_ms(95) <= 195
 
 
--- a/tests/owner/test_selection.py
+++ b/tests/owner/test_selection.py
@@ -32,8 +32,8 @@
     ],
 )
 def test_eligible_replicas_and_their_slots(replicas, names, slots):
-    selected = selection.eligible(replicas, NOW_S)
-    assert [each.instance for each in selected] == names
+    eligible = selection.eligible(replicas, NOW_S)
+    assert [eligible_replica.instance for eligible_replica in eligible] == names
     assert selection.total_slots(replicas, NOW_S) == slots
 
 
@@ -66,9 +66,9 @@
         retries=1,
         body=b"{}",
         reply=lambda reply: None,
-        attempt_prefix="q",
+        attempt_id_prefix="q",
     )
-    part.tried |= tried
+    part.tried_replicas |= tried
     selected = selection.select_untried(replicas, NOW_S, part)
     assert (selected.instance if selected else None) == untried
     selected = selection.select_for_retry(replicas, NOW_S, part)
--- a/tests/owner/test_service_queue.py
+++ b/tests/owner/test_service_queue.py
@@ -20,18 +20,18 @@
 class Targets:
     """Client that returns each replica's scripted outcomes in order, and repeats the last one."""
 
-    def __init__(self, outcomes, delay_s=0.0):
-        self.outcomes = {name: list(each) for name, each in outcomes.items()}
+    def __init__(self, scripts, delay_s=0.0):
+        self.scripts = {name: list(script) for name, script in scripts.items()}
         self.sent = []
         self.cancelled = []
         self.refusing = set()
         self.delay_s = delay_s
 
-    async def run(self, address, attempt, snapshot, shard, body, remaining_s):
-        if address in self.refusing & {each for each, _ in self.sent}:
+    async def run(self, address, attempt_id, snapshot, shard, body, remaining_s):
+        if address in self.refusing & {sent_address for sent_address, _ in self.sent}:
             return target.NotRun("connect_failed")
-        self.sent.append((address, attempt))
-        script = self.outcomes[address]
+        self.sent.append((address, attempt_id))
+        script = self.scripts[address]
         outcome = script.pop(0) if len(script) > 1 else script[0]
         delay_s = self.delay_s
         if isinstance(outcome, tuple):
@@ -39,17 +39,17 @@
         await asyncio.sleep(delay_s)
         return outcome
 
-    async def cancel(self, address, attempt):
-        self.cancelled.append(attempt)
+    async def cancel(self, address, attempt_id):
+        self.cancelled.append(attempt_id)
 
-    async def refuses(self, address, timeout_s):
+    async def refuses_connections(self, address, timeout_s):
         return address in self.refusing
 
 
 ANSWER = target.Answered("s1", b"{}")
 
 
-def make_suspects(broadcast=lambda content: None):
+def make_suspects(broadcast=lambda message: None):
     return suspects_module.Suspects(counters_module.Counters(), broadcast, lambda: False)
 
 
@@ -64,7 +64,7 @@
     counters = counters_module.Counters()
     settings.setdefault("suspects", make_suspects())
     queue = service_queue.ServiceQueue("s", targets, counters, random.Random(1), **settings)
-    for name in targets.outcomes:
+    for name in targets.scripts:
         queue.replicas[name] = replica_module.Replica(name, name, "dc", 2.0, limit=2.0)
     return queue
 
@@ -82,7 +82,7 @@
         retries=retries,
         body=b"{}",
         reply=replies.append,
-        attempt_prefix=f"q{number}",
+        attempt_id_prefix=f"q{number}",
     )
     queue.submit(part)
     return part
@@ -143,14 +143,14 @@
             queue.durations.add(50.0)
         for number in range(20):
             submit(queue, replies, caller=f"c{number % 4}", number=number)
-        before = len(replies)
+        count_before = len(replies)
         submit(queue, replies, deadline_ms=60, number=99)
-        assert [reply.reason for reply in replies[before:]] == ["no_time"]
+        assert [reply.reason for reply in replies[count_before:]] == ["no_time"]
         assert replies[-1].retry_after_ms > 0
         await wait_for_replies(replies, 21)
 
     run_steps(targets, steps)
-    assert not any(attempt.startswith("q99.") for _, attempt in targets.sent)
+    assert not any(attempt_id.startswith("q99.") for _, attempt_id in targets.sent)
 
 
 def test_hedge_wins_and_loser_is_cancelled():
@@ -161,10 +161,10 @@
         for _ in range(30):
             queue.durations.add(5.0)
         queue.replicas["r1"].latency_ms = 9.0
-        began_at_s = time.monotonic()
+        started_at_s = time.monotonic()
         submit(queue, replies)
         await wait_for_replies(replies)
-        assert time.monotonic() - began_at_s < 0.9
+        assert time.monotonic() - started_at_s < 0.9
         await asyncio.sleep(0.01)
 
     (reply,) = run_steps(targets, steps)
@@ -189,9 +189,9 @@
         await wait_for_replies(replies, 10)
 
     run_steps(targets, steps)
-    sent = [attempt for address, attempt in targets.sent if address == "r1"]
-    hedge = next(index for index, attempt in enumerate(sent) if attempt.endswith(".2"))
-    assert hedge <= 3
+    sent = [attempt_id for address, attempt_id in targets.sent if address == "r1"]
+    hedge_index = next(index for index, attempt_id in enumerate(sent) if attempt_id.endswith(".2"))
+    assert hedge_index <= 3
 
 
 def test_a_part_that_is_not_repeatable_is_not_hedged():
@@ -216,7 +216,7 @@
             await wait_for_replies(replies, number + 1)
         assert queue.replicas["r0"].consecutive_ejections
         assert not queue.replicas["r1"].consecutive_ejections
-        queue.mark_leaving("r1", "draining")
+        queue.mark_draining("r1", "draining")
         submit(queue, replies, number=99, retries=0)
         await wait_for_replies(replies, 13)
         assert replies[-1].outcome == "failed"
@@ -231,7 +231,7 @@
     async def steps(queue, replies):
         for number in range(5):
             submit(queue, replies, number=number)
-        queue.return_queued()
+        queue.refuse_queued()
         assert [reply.reason for reply in replies] == ["owner_leaving"] * 3
         assert {reply.outcome for reply in replies} == {"refused"}
         await wait_for_replies(replies, 5)
@@ -251,7 +251,7 @@
         await asyncio.sleep(0.05)
 
     assert len(run_steps(targets, steps)) == 2
-    assert [attempt for _, attempt in targets.sent] == ["q0.1", "q1.1", "q2.1"]
+    assert [attempt_id for _, attempt_id in targets.sent] == ["q0.1", "q1.1", "q2.1"]
     assert targets.cancelled == ["q0.1"]
 
 
@@ -281,12 +281,12 @@
 @pytest.mark.parametrize("refuses", [True, False], ids=["targets crash", "connections are reset"])
 def test_a_request_that_crashes_targets_is_sent_to_no_other_target(refuses):
     """
-    A request crashes each target that runs it. Every lost attempt is retried at the next target and
-    the caller repeats the request, until no target is left. After three crashes the request goes to
-    one target as a trial, and then to none. If connections are only reset, retries go on as before.
+    A request crashes each target that runs it. Unless this is detected, retries and the caller's
+    repeats send it on until no target is left. After three crashes the request goes to one target
+    as a trial, and then to none. If connections are only reset, retries go on as before.
     """
     targets = Targets({f"r{number}": [LOST] for number in range(8)})
-    targets.refusing = set(targets.outcomes) if refuses else set()
+    targets.refusing = set(targets.scripts) if refuses else set()
 
     async def steps(queue, replies):
         for number in range(12):
@@ -297,12 +297,12 @@
     assert {reply.outcome for reply in replies} <= {"failed", "refused"}
     assert (len(targets.sent) <= poison.CRASHES_TO_SUSPECT + 1) is refuses
     if refuses:
-        ended = [(reply.outcome, reply.reason) for reply in replies[-2:]]
-        assert ended == [("failed", suspects_module.CRASHES_TARGETS)] * 2
+        last_outcomes = [(reply.outcome, reply.reason) for reply in replies[-2:]]
+        assert last_outcomes == [("failed", suspects_module.CRASHES_TARGETS)] * 2
 
 
 def test_a_suspected_request_is_allowed_once_its_trial_is_answered():
-    """It was only in flight together with the one that crashes targets; its trial is answered."""
+    """It does not crash targets; it was only in flight together with a request that does."""
     targets = Targets({"r0": [ANSWER], "r1": [ANSWER]})
     suspects = make_suspects()
     for number in range(3):
@@ -331,7 +331,10 @@
         await wait_for_replies(replies, 2)
 
     replies = run_steps(targets, steps, suspects=suspects)
-    assert [(each.number, each.outcome) for each in replies] == [(1, "refused"), (0, "answered")]
+    assert [(reply.number, reply.outcome) for reply in replies] == [
+        (1, "refused"),
+        (0, "answered"),
+    ]
 
 
 def test_a_request_suspected_at_one_owner_is_suspected_at_its_peers():
@@ -339,8 +342,8 @@
     suspecting, peer = make_suspects(messages.append), make_suspects()
     for number in range(3):
         suspecting.record_crash(b"q", f"t{number}", on_trial=False)
-    for content in messages:
-        peer.merge_message(content)
+    for message in messages:
+        peer.merge_message(message)
     peer.merge_message(b"damaged")
     assert peer.verdict(b"q") is poison.Verdict.SUSPECTED
 
@@ -360,12 +363,12 @@
     answered_here.record_answer(b"q")
     for number in range(3):
         suspecting.record_crash(b"q", f"t{number}", on_trial=False)
-    for content in messages[:]:
-        other.merge_message(content)
+    for message in messages[:]:
+        other.merge_message(message)
     assert other.verdict(b"q") is poison.Verdict.SUSPECTED
     count_before = len(messages)
-    answer = answered_here.merge_message(messages[-1])
-    assert suspecting.merge_message(answer) is None
+    correction = answered_here.merge_message(messages[-1])
+    assert suspecting.merge_message(correction) is None
     assert suspecting.verdict(b"q") is poison.Verdict.ALLOWED
     assert len(messages) == count_before + 1
     assert other.merge_message(messages[-1]) is None
