--- a/src/turmericlug/query/admission.py
+++ b/src/turmericlug/query/admission.py
@@ -11,7 +11,7 @@
 from turmericlug.owner import policy
 
 _WAIT_MAX_AGE_S = 0.3
-"""Predicted waits that are older are ignored."""
+"""Age from which a predicted wait is ignored."""
 _MAX_WAITS = 10000
 
 
@@ -24,7 +24,7 @@
     refilled_at_s: float
 
     def take(self, now_s: float) -> float:
-        """Take a token; return 0 if there was one, else the seconds until there is."""
+        """Take a token; return 0 if there was one, else the seconds until there is one."""
         burst = max(1.0, self.rate_per_s)
         self.tokens = min(burst, self.tokens + (now_s - self.refilled_at_s) * self.rate_per_s)
         self.refilled_at_s = now_s
@@ -35,7 +35,7 @@
 
 
 class Admission:
-    """Queue waits recently reported by owners, and the rate limits of the rules."""
+    """Queue waits that owners recently predicted, and the rate limits of the rules."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -68,11 +68,11 @@
 
     def rate_limit_retry_after_ms(self, rule: str, rate_per_s: float, instances: int) -> int:
         """Count a query against a rule's rate; return the retry delay, 0 if it is admitted."""
-        instance_rate = rate_per_s / max(instances, 1)
+        instance_rate_per_s = rate_per_s / max(instances, 1)
         now_s = time.monotonic()
-        bucket = self._buckets.get((rule, instance_rate))
+        bucket = self._buckets.get((rule, instance_rate_per_s))
         if bucket is None:
-            self._buckets = {key: each for key, each in self._buckets.items() if key[0] != rule}
-            bucket = TokenBucket(instance_rate, 1.0, now_s)
-            self._buckets[rule, instance_rate] = bucket
+            self._buckets = {key: other for key, other in self._buckets.items() if key[0] != rule}
+            bucket = TokenBucket(instance_rate_per_s, 1.0, now_s)
+            self._buckets[rule, instance_rate_per_s] = bucket
         return math.ceil(bucket.take(now_s) * 1000)
--- a/src/turmericlug/query/callers_http.py
+++ b/src/turmericlug/query/callers_http.py
@@ -1,4 +1,4 @@
-"""HTTP interface for callers: queries, entry addresses, liveness and readiness."""
+"""HTTP interface for callers: queries, instance addresses, liveness and readiness."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 from turmericlug.rules import model
 from turmericlug.telemetry import counters as counters_module
 
-CALLER = "Turmericlug-Caller"
-DATA_CENTRE = "Turmericlug-Data-Centre"
-DEADLINE_MS = "Turmericlug-Deadline-Ms"
-PRIORITY = "Turmericlug-Priority"
-IDEMPOTENCY_KEY = "Idempotency-Key"
-MOVE_TO = "Turmericlug-Move-To"
+CALLER_HEADER = "Turmericlug-Caller"
+DATA_CENTRE_HEADER = "Turmericlug-Data-Centre"
+DEADLINE_MS_HEADER = "Turmericlug-Deadline-Ms"
+PRIORITY_HEADER = "Turmericlug-Priority"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
+MOVE_TO_HEADER = "Turmericlug-Move-To"
 _QUERY_FIELDS = {
     "service",
     "body",
@@ -46,7 +46,7 @@
 
 
 class BadRequestError(Exception):
-    """An invalid request; ``reason`` names a counter, ``detail`` is the message for people."""
+    """An invalid request; ``reason`` names a counter, ``detail`` tells the caller what to fix."""
 
     def __init__(self, reason: str, detail: str, status: int = 400) -> None:
         super().__init__(detail)
@@ -76,8 +76,8 @@
 
     def application(self) -> web.Application:
         """Build the application with its routes."""
-        limit = self._settings.limits.max_body_bytes
-        application = web.Application(client_max_size=limit, middlewares=[self._convert_errors])
+        max_bytes = self._settings.limits.max_body_bytes
+        application = web.Application(client_max_size=max_bytes, middlewares=[self._convert_errors])
         application.router.add_post("/v1/query", self._query)
         application.router.add_get("/v1/addresses", self._addresses)
         application.router.add_get("/v1/live", self._live)
@@ -95,26 +95,26 @@
         except BadRequestError as error:
             return self._reject(error.status, error.reason, error.detail)
         except web.HTTPRequestEntityTooLarge:
-            limit = self._settings.limits.max_body_bytes
-            return self._reject(413, "too_large", f"the body has more than {limit} bytes")
+            max_bytes = self._settings.limits.max_body_bytes
+            return self._reject(413, "too_large", f"the body has more than {max_bytes} bytes")
         except web.HTTPException as error:
             return self._reject(error.status, f"http_{error.status}", error.reason)
 
     def _reject(self, status: int, reason: str, detail: str) -> web.Response:
         self._counters.add(f"query.bad_request.{reason}")
-        text = {"outcome": "rejected", "ran": "no", "reason": reason, "detail": detail}
-        return web.json_response(text, status=status)
+        payload = {"outcome": "rejected", "ran": "no", "reason": reason, "detail": detail}
+        return web.json_response(payload, status=status)
 
     async def _query(self, request: web.Request) -> web.StreamResponse:
         query = self._parse_query(request, await request.read())
         query_id = self._coordinator.new_id()
-        work = self._coordinator.run(query, query_id)
+        run = self._coordinator.run(query, query_id)
         if query.idempotency_key:
             # A caller that disconnects cancels its query, unless the query runs at most once: its
             # outcome has to be recorded for the retry that follows.
-            outcome = await asyncio.shield(self._shielded_tasks.start(work))
+            outcome = await asyncio.shield(self._shielded_tasks.start(run))
         else:
-            outcome = await work
+            outcome = await run
         return self._response(outcome, query_id)
 
     def _response(self, outcome: outcome_module.Outcome, query_id: str) -> web.Response:
@@ -123,34 +123,34 @@
             status = 429 if outcome.reason == "rate_limit" else 503
         elif isinstance(outcome, outcome_module.Failed):
             status = 504
-        retry_after_ms = getattr(outcome, "come_back_ms", 0)
+        retry_after_ms = getattr(outcome, "retry_after_ms", 0)
         if retry_after_ms:
             headers["Retry-After"] = str(math.ceil(retry_after_ms / 1000))
         move_to = self._move_to_address()
         if move_to:
-            headers[MOVE_TO] = move_to
+            headers[MOVE_TO_HEADER] = move_to
         text = outcome_module.to_json(outcome, self._settings.instance.name, query_id)
         return web.Response(
             text=text, status=status, headers=headers, content_type="application/json"
         )
 
     def _move_to_address(self) -> str:
-        """Return another entry for callers of a draining instance, an empty string otherwise."""
+        """Return another instance's address if this one is draining, an empty string otherwise."""
         if self._members.own.state != members_module.LEAVING:
             return ""
-        entries = self._ranked_entries()
-        return f"{entries[0].host}:{entries[0].callers_port}" if entries else ""
+        members = self._ranked_members()
+        return f"{members[0].host}:{members[0].callers_port}" if members else ""
 
-    def _parse_query(self, request: web.Request, raw: bytes) -> coordinator_module.Query:
+    def _parse_query(self, request: web.Request, body: bytes) -> coordinator_module.Query:
         """
         Parse and check a request.
 
         :raises BadRequestError: on the first error; nothing runs then
         """
-        plain = _parse_object(raw)
+        payload = _parse_object(body)
         headers = request.headers
-        key = _read_string(plain, "idempotency_key", headers.get(IDEMPOTENCY_KEY, ""))
-        repeatable = plain.get("repeatable", not key)
+        key = _read_string(payload, "idempotency_key", headers.get(IDEMPOTENCY_KEY_HEADER, ""))
+        repeatable = payload.get("repeatable", not key)
         if not isinstance(repeatable, bool):
             raise BadRequestError("malformed", "repeatable must be true or false")
         if key and repeatable:
@@ -159,19 +159,22 @@
             )
         if not key and not repeatable:
             detail = (
-                f"a request that is not repeatable needs an idempotency key ({IDEMPOTENCY_KEY})"
+                "a request that is not repeatable needs an idempotency key "
+                f"({IDEMPOTENCY_KEY_HEADER})"
             )
             raise BadRequestError("idempotency_key_missing", detail)
-        service = self._read_service(plain, bool(key))
-        deadline_ms = self._read_deadline_ms(plain, headers.get(DEADLINE_MS))
-        priority = _read_integer(plain.get("priority", headers.get(PRIORITY)), "priority")
+        service = self._read_service(payload, bool(key))
+        deadline_ms = self._read_deadline_ms(payload, headers.get(DEADLINE_MS_HEADER))
+        priority = _read_integer(payload.get("priority", headers.get(PRIORITY_HEADER)), "priority")
         if priority is not None and not 0 <= priority <= model.MAX_PRIORITY:
             raise BadRequestError("malformed", f"priority must be 0 to {model.MAX_PRIORITY}")
         return coordinator_module.Query(
             service=service,
-            body=json.dumps(plain.get("body", {}), separators=(",", ":")).encode(),
-            caller=_check_name(_read_string(plain, "caller", headers.get(CALLER, "")), "caller"),
-            data_centre=_read_string(plain, "data_centre", headers.get(DATA_CENTRE, "")),
+            body=json.dumps(payload.get("body", {}), separators=(",", ":")).encode(),
+            caller=_check_name(
+                _read_string(payload, "caller", headers.get(CALLER_HEADER, "")), "caller"
+            ),
+            data_centre=_read_string(payload, "data_centre", headers.get(DATA_CENTRE_HEADER, "")),
             deadline_ms=deadline_ms,
             priority=priority,
             headers={name.lower(): value for name, value in headers.items()},
@@ -187,25 +190,27 @@
             detail = "the idempotency key must be <Unix time in s>-<name> and recently created"
             raise BadRequestError(str(error), detail) from error
 
-    def _read_service(self, plain: dict[str, typing.Any], runs_once: bool) -> str:
-        name = plain.get("service")
+    def _read_service(self, payload: dict[str, typing.Any], runs_once: bool) -> str:
+        name = payload.get("service")
         if not isinstance(name, str) or not name:
             raise BadRequestError("malformed", "service must be the name of a service or group")
         catalog = self._config.catalog
-        members = catalog.members_of(name)
-        if not members and self._config.freshness.is_current():
+        services = catalog.members_of(name)
+        if not services and self._config.freshness.is_current():
             raise BadRequestError("unknown_service", f"no service or group {name!r}", 404)
         shards = sum(
-            len(catalog.snapshots[-1].shards_of(each)) for each in members if catalog.snapshots
+            len(catalog.snapshots[-1].shards_of(service))
+            for service in services
+            if catalog.snapshots
         )
         if runs_once and shards > 1:
             detail = f"{name} has {shards} shards; a request that runs at most once must have one"
             raise BadRequestError("several_shards", detail)
         return name
 
-    def _read_deadline_ms(self, plain: dict[str, typing.Any], header: str | None) -> int:
+    def _read_deadline_ms(self, payload: dict[str, typing.Any], header: str | None) -> int:
         limits = self._settings.limits
-        deadline_ms = _read_integer(plain.get("deadline_ms", header), "deadline_ms")
+        deadline_ms = _read_integer(payload.get("deadline_ms", header), "deadline_ms")
         if deadline_ms is None:
             return limits.default_deadline_ms
         if deadline_ms <= 0:
@@ -215,12 +220,14 @@
             raise BadRequestError("deadline_too_long", detail)
         return deadline_ms
 
-    def _ranked_entries(self) -> list[members_module.Member]:
-        """Return the entries in a shuffle weighted by load; omits draining and suspected ones."""
-        alive = [each for each in self._members.serving() if each.state == members_module.ALIVE]
-        return sorted(alive, key=self._draw_rank, reverse=True)
+    def _ranked_members(self) -> list[members_module.Member]:
+        """Return the instances, neither draining nor suspected, in a shuffle weighted by load."""
+        alive = [
+            member for member in self._members.serving() if member.state == members_module.ALIVE
+        ]
+        return sorted(alive, key=self._draw_sort_key, reverse=True)
 
-    def _draw_rank(self, member: members_module.Member) -> float:
+    def _draw_sort_key(self, member: members_module.Member) -> float:
         """
         Draw the sort key of a weighted shuffle: the lower the load, the likelier to come first.
 
@@ -231,18 +238,18 @@
         return self._rng.random() ** (1 / weight)
 
     async def _addresses(self, request: web.Request) -> web.Response:
-        centre = request.query.get("data_centre", "")
-        entries = self._ranked_entries()
-        entries.sort(key=lambda each: each.data_centre != centre)
-        entries = entries[:_MAX_ADDRESSES]
+        data_centre = request.query.get("data_centre", "")
+        members = self._ranked_members()
+        members.sort(key=lambda member: member.data_centre != data_centre)
+        members = members[:_MAX_ADDRESSES]
         addresses = [
             {
-                "instance": each.instance,
-                "host": each.host,
-                "port": each.callers_port,
-                "data_centre": each.data_centre,
+                "instance": member.instance,
+                "host": member.host,
+                "port": member.callers_port,
+                "data_centre": member.data_centre,
             }
-            for each in entries
+            for member in members
         ]
         lifetime_ms = self._settings.policy.address_lifetime_ms
         return web.json_response({"addresses": addresses, "lifetime_ms": lifetime_ms})
@@ -252,50 +259,50 @@
 
     async def _ready(self, request: web.Request) -> web.Response:
         current = self._config.freshness.is_current()
-        leaving = self._members.own.state == members_module.LEAVING
-        ready = current and self._members.own.ready and not leaving
-        text = {"ready": ready, "current": current, "leaving": leaving}
-        return web.json_response(text, status=200 if ready else 503)
+        draining = self._members.own.state == members_module.LEAVING
+        ready = current and self._members.own.ready and not draining
+        payload = {"ready": ready, "current": current, "leaving": draining}
+        return web.json_response(payload, status=200 if ready else 503)
 
     async def finish(self) -> None:
-        """Wait for at-most-once requests that go on after their caller disconnected."""
+        """Wait for the at-most-once requests whose callers have disconnected."""
         await self._shielded_tasks.finish()
 
 
-def _parse_object(raw: bytes) -> dict[str, typing.Any]:
+def _parse_object(body: bytes) -> dict[str, typing.Any]:
     try:
-        plain = json.loads(raw)
+        payload = json.loads(body)
     except (ValueError, RecursionError) as error:
         raise BadRequestError("malformed", f"the body is not JSON: {error}") from error
-    if not isinstance(plain, dict):
+    if not isinstance(payload, dict):
         raise BadRequestError("malformed", "the body must be a JSON object")
-    unknown = sorted(set(plain) - _QUERY_FIELDS)
+    unknown = sorted(set(payload) - _QUERY_FIELDS)
     if unknown:
         raise BadRequestError("malformed", f"unknown field {unknown[0]!r}")
-    return plain
+    return payload
 
 
-def _read_string(plain: dict[str, typing.Any], key: str, default: str) -> str:
-    value = plain.get(key, default)
+def _read_string(payload: dict[str, typing.Any], field: str, default: str) -> str:
+    value = payload.get(field, default)
     if not isinstance(value, str):
-        raise BadRequestError("malformed", f"{key} must be a string")
+        raise BadRequestError("malformed", f"{field} must be a string")
     return value
 
 
-def _check_name(value: str, key: str) -> str:
+def _check_name(value: str, field: str) -> str:
     if not _CALLER_NAME.match(value):
-        detail = f"{key} must be 1 to 64 letters, digits, '.', '_', '@' or '-' ({CALLER})"
+        detail = f"{field} must be 1 to 64 letters, digits, '.', '_', '@' or '-' ({CALLER_HEADER})"
         raise BadRequestError("caller_missing", detail)
     return value
 
 
-def _read_integer(value: typing.Any, key: str) -> int | None:
+def _read_integer(value: typing.Any, field: str) -> int | None:
     if value is None:
         return None
     if isinstance(value, str) and re.fullmatch(r"-?[0-9]{1,9}", value):
         return int(value)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise BadRequestError("malformed", f"{key} must be an integer")
+        raise BadRequestError("malformed", f"{field} must be an integer")
     return value
 
 
@@ -303,7 +310,7 @@
 async def serving(
     application: web.Application, host: str, port: int
 ) -> abc.AsyncIterator[web.AppRunner]:
-    """Serve an application for the length of the block."""
+    """Serve an application until the end of the block."""
     runner = web.AppRunner(
         application,
         access_log=None,
--- a/src/turmericlug/query/coordinator.py
+++ b/src/turmericlug/query/coordinator.py
@@ -50,7 +50,7 @@
 
 
 class Coordinator:
-    """Runs queries and keeps the rules revision under which each query in flight started."""
+    """Runs queries and keeps the rules revision under which each one in flight started."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         self._admission = admission_module.Admission(self._rng)
         self._id_prefix = f"{settings.instance.name}-{secrets.token_hex(4)}"
         self._query_numbers = itertools.count(1)
-        self._running: dict[str, int] = {}
+        self._query_revisions: dict[str, int] = {}
         self._query_ended = asyncio.Event()
         self._log_limiter = events.Limiter(_LOG_LINES_PER_S)
         self._settle_tasks = tasks.Tasks()
@@ -79,7 +79,7 @@
     @property
     def running(self) -> int:
         """Number of queries in flight and of claims being settled."""
-        return len(self._running) + len(self._settle_tasks)
+        return len(self._query_revisions) + len(self._settle_tasks)
 
     def new_id(self) -> str:
         """Return a query identifier that is unique across instances and restarts."""
@@ -88,7 +88,7 @@
     async def wait_for_older_queries(self, revision: int, timeout_s: float) -> bool:
         """Wait until no query in flight started under an older rules revision."""
         end_s = time.monotonic() + timeout_s
-        while any(each < revision for each in self._running.values()):
+        while any(query_revision < revision for query_revision in self._query_revisions.values()):
             remaining_s = end_s - time.monotonic()
             if remaining_s <= 0:
                 return False
@@ -107,22 +107,22 @@
         :param query: the request
         :param query_id: from :meth:`new_id`
         """
-        began_at_s = time.monotonic()
-        self._running[query_id] = self._config.rules.revision
+        started_at_s = time.monotonic()
+        self._query_revisions[query_id] = self._config.rules.revision
         try:
-            outcome = await self._process(query, query_id, began_at_s)
+            outcome = await self._process(query, query_id, started_at_s)
         finally:
-            del self._running[query_id]
+            del self._query_revisions[query_id]
             self._query_ended.set()
-        self._counters.time_ms("query.total_ms", (time.monotonic() - began_at_s) * 1000)
+        self._counters.time_ms("query.total_ms", (time.monotonic() - started_at_s) * 1000)
         name = outcome_module.name_of(outcome)
         reason = "" if isinstance(outcome, outcome_module.Answer) else f".{outcome.reason}"
         self._counters.add(f"query.{name}{reason}")
         if name != "complete":
-            self._log(query, query_id, outcome)
+            self._log_outcome(query, query_id, outcome)
         return outcome
 
-    def _log(self, query: Query, query_id: str, outcome: outcome_module.Outcome) -> None:
+    def _log_outcome(self, query: Query, query_id: str, outcome: outcome_module.Outcome) -> None:
         reasons = [getattr(outcome, "reason", "")]
         if isinstance(outcome, outcome_module.Answer):
             reasons = sorted({missing.reason for missing in outcome.coverage.missing})
@@ -136,11 +136,11 @@
         )
 
     async def _process(
-        self, query: Query, query_id: str, began_at_s: float
+        self, query: Query, query_id: str, started_at_s: float
     ) -> outcome_module.Outcome:
         if not self._config.freshness.is_current():
-            # The other instances may have accepted new rules without this one; to answer by the
-            # old rules would break that acceptance.
+            # The other instances may have accepted new rules without this one; from then on no
+            # query may be answered under the old rules.
             return outcome_module.Refused(
                 "not_current", self._jitter_ms(_NOT_CURRENT_RETRY_AFTER_MS)
             )
@@ -157,7 +157,7 @@
         if refusal is not None:
             return refusal
         deadline_ms = min(query.deadline_ms, treatment.deadline_ms or query.deadline_ms)
-        deadline_s = began_at_s + deadline_ms / 1000 - _ANSWER_MARGIN_S
+        deadline_s = started_at_s + deadline_ms / 1000 - _ANSWER_MARGIN_S
         if deadline_s <= time.monotonic():
             # If the parts were sent, they would miss the deadline for certain and might still run.
             return outcome_module.Refused(
@@ -165,38 +165,38 @@
             )
         if query.idempotency_key:
             return await self._run_at_most_once(query, treatment, query_id, deadline_s)
-        return await self._run_parts(query, treatment, query_id, began_at_s, deadline_s)
+        return await self._run_parts(query, treatment, query_id, started_at_s, deadline_s)
 
     def _check_admission(
         self, query: Query, treatment: model.Treatment
     ) -> outcome_module.Refused | None:
-        """Return why a query must be refused before any part starts, ``None`` if it is admitted."""
+        """Return the refusal of a query that may not start, ``None`` if it is admitted."""
         revision, rule = self._config.rules.revision, treatment.rule
 
-        def refused(reason: str, retry_after_ms: int) -> outcome_module.Refused:
+        def refusal(reason: str, retry_after_ms: int) -> outcome_module.Refused:
             return outcome_module.Refused(reason, retry_after_ms, revision, rule)
 
         if treatment.refuse:
-            return refused(f"rule_{treatment.refuse}", self._jitter_ms(treatment.come_back_ms))
-        if len(self._running) > self._settings.limits.max_queries:
-            return refused("instance_busy", self._jitter_ms(100))
+            return refusal(f"rule_{treatment.refuse}", self._jitter_ms(treatment.come_back_ms))
+        if len(self._query_revisions) > self._settings.limits.max_queries:
+            return refusal("instance_busy", self._jitter_ms(100))
         if not self._config.catalog.snapshots:
-            return refused("no_snapshot", self._jitter_ms(1000))
+            return refusal("no_snapshot", self._jitter_ms(1000))
         services = self._config.catalog.members_of(query.service)
         if not services:
-            return refused("unknown_service", self._jitter_ms(1000))
+            return refusal("unknown_service", self._jitter_ms(1000))
         if treatment.rate_per_s is not None:
             instances = len(self._mesh.members.serving())
-            wait_ms = self._admission.rate_limit_retry_after_ms(
+            retry_after_ms = self._admission.rate_limit_retry_after_ms(
                 rule, treatment.rate_per_s, instances
             )
-            if wait_ms:
-                return refused("rate_limit", wait_ms)
+            if retry_after_ms:
+                return refusal("rate_limit", retry_after_ms)
         deadline_ms = min(query.deadline_ms, treatment.deadline_ms or query.deadline_ms)
-        wait_ms = self._admission.overload_retry_after_ms(
+        retry_after_ms = self._admission.overload_retry_after_ms(
             services, self._priority(query, treatment), query.caller, deadline_ms
         )
-        return refused("overloaded", wait_ms) if wait_ms else None
+        return refusal("overloaded", retry_after_ms) if retry_after_ms else None
 
     def _jitter_ms(self, base_ms: int) -> int:
         """Add jitter to a retry delay, so that callers don't all retry at the same time."""
@@ -215,9 +215,11 @@
         deadline_s: float,
         excluded_snapshot: str = "",
     ) -> fan_out_module.Plan | None:
-        """Plan the parts on the newest snapshot but the excluded one; ``None`` if there is none."""
+        """Plan the parts on the newest snapshot that is not excluded; ``None`` if there is none."""
         catalog = self._config.catalog
-        snapshots = [each for each in catalog.snapshots if each.name != excluded_snapshot]
+        snapshots = [
+            snapshot for snapshot in catalog.snapshots if snapshot.name != excluded_snapshot
+        ]
         if not snapshots:
             return None
         snapshot = snapshots[-1]
@@ -242,7 +244,7 @@
         query: Query,
         treatment: model.Treatment,
         query_id: str,
-        began_at_s: float,
+        started_at_s: float,
         deadline_s: float,
     ) -> outcome_module.Outcome:
         """Fan out the parts, and once more on another snapshot if the pinned one is absent."""
@@ -250,15 +252,15 @@
         assert plan is not None  # _check_admission refuses a query without snapshots
         answer_by_s = None
         if treatment.prefer == model.PREFER_LATENCY and treatment.answer_by_ms is not None:
-            answer_by_s = began_at_s + treatment.answer_by_ms / 1000 - _ANSWER_MARGIN_S
+            answer_by_s = started_at_s + treatment.answer_by_ms / 1000 - _ANSWER_MARGIN_S
         fan_out = await self._fan_out(plan, answer_by_s)
         if fan_out.snapshot_absent and time.monotonic() < deadline_s:
-            other = self._plan(
+            other_plan = self._plan(
                 query, treatment, f"{query_id}r", deadline_s, excluded_snapshot=plan.snapshot.name
             )
-            if other is not None and (query.repeatable or fan_out.nothing_ran):
+            if other_plan is not None and (query.repeatable or fan_out.nothing_ran):
                 self._counters.add("query.restarted")
-                plan = other
+                plan = other_plan
                 fan_out = await self._fan_out(plan, answer_by_s)
         return self._make_outcome(plan, treatment, fan_out)
 
@@ -328,7 +330,7 @@
             return _decode_recorded(verdict.detail, revision, rule)
         if verdict.outcome == ledger.OPEN:
             return outcome_module.Failed(
-                "key_in_use", revision, rule, come_back_ms=self._jitter_ms(500)
+                "key_in_use", revision, rule, retry_after_ms=self._jitter_ms(500)
             )
         if verdict.outcome != ledger.GRANTED:
             if verdict.outcome == ledger.UNAVAILABLE:
@@ -357,8 +359,8 @@
 
 
 def _decode_recorded(text: str, revision: int, rule: str) -> outcome_module.Answer:
-    """Rebuild the answer recorded by the first run of a key."""
-    plain = json.loads(text)
-    results = [(shard, body.encode()) for shard, body in plain["results"]]
+    """Rebuild the answer recorded by the first request with an idempotency key."""
+    payload = json.loads(text)
+    results = [(shard, body.encode()) for shard, body in payload["results"]]
     coverage = outcome_module.Coverage(len(results), len(results), ())
-    return outcome_module.Answer(plain["snapshot"], coverage, results, revision, rule)
+    return outcome_module.Answer(payload["snapshot"], coverage, results, revision, rule)
--- a/src/turmericlug/query/fan_out.py
+++ b/src/turmericlug/query/fan_out.py
@@ -1,4 +1,4 @@
-"""Fan-out of one query's parts to the owners; the answers are of one snapshot."""
+"""Fan-out of one query's parts to the owners; all answers are of one snapshot."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 
 
 @attrs.define
-class _Part:
+class _PartState:
     service: str
     shard: str
-    tried: set[str] = attrs.field(factory=set)
+    tried_owners: set[str] = attrs.field(factory=set)
     submissions: int = 0
-    answered: bytes | None = None
+    answer: bytes | None = None
     reason: str = ""
     unresolved_owners: int = 0
     """Number of owners that got the part and have not reported that it did not run."""
@@ -69,8 +69,8 @@
         self._mesh = mesh
         self._counters = counters
         self._on_wait_predicted = on_wait_predicted
-        self._parts = [_Part(service, shard) for service, shard in plan.parts]
-        self._open = set(range(len(self._parts)))
+        self._parts = [_PartState(service, shard) for service, shard in plan.parts]
+        self._open_numbers = set(range(len(self._parts)))
         # Counted per reply: to count over 500 parts at each of 500 replies took most of a
         # coordinator's time.
         self._answered_count = 0
@@ -82,7 +82,7 @@
 
     def start(self) -> None:
         """Submit every part to the owner of its service, with one message per owner."""
-        self._submit(sorted(self._open))
+        self._submit(sorted(self._open_numbers))
 
     def _submit(self, numbers: list[int]) -> None:
         by_owner: dict[str, list[int]] = {}
@@ -101,7 +101,7 @@
                 self._submit_to_peer(instance, owner_numbers)
         self._changed.set()
 
-    def _next_owner(self, part: _Part) -> str | None:
+    def _next_owner(self, part: _PartState) -> str | None:
         """
         Return the first owner in the ranking that has not had this part.
 
@@ -111,16 +111,16 @@
         if part.submissions >= MAX_SUBMISSIONS:
             return None
         for member in self._owner.ranking(part.service):
-            if member.instance not in part.tried:
-                part.tried.add(member.instance)
+            if member.instance not in part.tried_owners:
+                part.tried_owners.add(member.instance)
                 part.submissions += 1
                 return member.instance
         return None
 
     def _resubmit(self, number: int) -> None:
-        """Start again with the first owner, as while links are being re-established."""
-        if number in self._open and not self._stopped:
-            self._parts[number].tried.clear()
+        """Start again with the first owner: links to owners may have been re-established."""
+        if number in self._open_numbers and not self._stopped:
+            self._parts[number].tried_owners.clear()
             self._parts[number].submissions += 1
             self._submit([number])
 
@@ -143,13 +143,13 @@
         link = self._mesh.link(instance)
         # A silent owner may be suspended: until it answers, new parts go to the next owner.
         if link is None or not link.is_up or (link.silent and self._plan.parameters.repeatable):
-            self._send_to_next_owner(numbers, "owner_unreachable")
+            self._submit_to_next_owner(numbers, "owner_unreachable")
             return
         unanswered = set(numbers)
 
         def on_reply(message: typing.Any) -> bool:
             if isinstance(message, link_module.PeerSilent | link_module.ConnectionLost):
-                self._on_link_note(message, unanswered)
+                self._on_link_event(message, unanswered)
                 return isinstance(message, link_module.ConnectionLost)
             self._on_message(message, unanswered)
             return not unanswered
@@ -160,30 +160,30 @@
                 on_reply,
             )
         except link_module.LinkError:
-            self._send_to_next_owner(numbers, "owner_unreachable")
+            self._submit_to_next_owner(numbers, "owner_unreachable")
             return
         for number in numbers:
             self._parts[number].unresolved_owners += 1
         self._cancel_callbacks.append(lambda: link.cancel(request_id))
 
-    def _on_link_note(self, note: link_module.LinkEvent, unanswered: set[int]) -> None:
+    def _on_link_event(self, event: link_module.LinkEvent, unanswered: set[int]) -> None:
         """
         Submit the open parts of a silent or lost owner to the next one, if they are repeatable.
 
         A part that is not repeatable is not moved: it may be running, and its outcome is unknown.
         """
-        open_numbers = sorted(unanswered & self._open)
+        open_numbers = sorted(unanswered & self._open_numbers)
         if self._plan.parameters.repeatable:
             unanswered.clear()
             if open_numbers:
                 self._counters.add("query.moved_parts", len(open_numbers))
-                self._send_to_next_owner(open_numbers, "owner_lost")
-        elif isinstance(note, link_module.ConnectionLost):
+                self._submit_to_next_owner(open_numbers, "owner_lost")
+        elif isinstance(event, link_module.ConnectionLost):
             for number in open_numbers:
                 self._close_part(number, "owner_lost")
         self._changed.set()
 
-    def _send_to_next_owner(self, numbers: list[int], reason: str) -> None:
+    def _submit_to_next_owner(self, numbers: list[int], reason: str) -> None:
         for number in numbers:
             self._parts[number].reason = reason
         self._submit(numbers)
@@ -196,27 +196,27 @@
             self._counters.add("query.mismatched_reply")
             return
         replies = []
-        for item in message.partsReply.replies:
-            if item.number in unanswered:
-                unanswered.discard(item.number)
+        for reply_message in message.partsReply.replies:
+            if reply_message.number in unanswered:
+                unanswered.discard(reply_message.number)
                 replies.append(
                     part_module.PartReply(
-                        item.number,
-                        str(item.outcome),
-                        item.reason,
-                        item.snapshot,
-                        item.comeBackMs,
-                        item.body,
-                        item.attempts,
-                        item.waitMs,
+                        reply_message.number,
+                        str(reply_message.outcome),
+                        reply_message.reason,
+                        reply_message.snapshot,
+                        reply_message.comeBackMs,
+                        reply_message.body,
+                        reply_message.attempts,
+                        reply_message.waitMs,
                     )
                 )
         self._on_replies(replies)
 
     def _on_replies(self, replies: list[part_module.PartReply]) -> None:
-        refused_by_owner = []
+        numbers_for_next_owner = []
         for reply in replies:
-            if reply.number not in self._open:
+            if reply.number not in self._open_numbers:
                 continue
             part = self._parts[reply.number]
             self._on_wait_predicted(part.service, reply.wait_ms)
@@ -227,33 +227,33 @@
             else:
                 part.unresolved_owners -= 1
                 if reply.reason in _NEXT_OWNER_REASONS:
-                    refused_by_owner.append(reply.number)
+                    numbers_for_next_owner.append(reply.number)
                 else:
                     self.retry_after_ms = max(self.retry_after_ms, reply.retry_after_ms)
                     self._close_part(reply.number, reply.reason)
-        if refused_by_owner:
-            self._send_to_next_owner(refused_by_owner, "no_owner")
+        if numbers_for_next_owner:
+            self._submit_to_next_owner(numbers_for_next_owner, "no_owner")
         self._changed.set()
 
-    def _accept_answer(self, reply: part_module.PartReply, part: _Part) -> None:
+    def _accept_answer(self, reply: part_module.PartReply, part: _PartState) -> None:
         # An answer of another snapshot would mix two versions of the indexes in one result.
         if reply.snapshot != self._plan.snapshot.name:
             self._counters.add("query.mismatched_reply")
             self._close_part(reply.number, "wrong_snapshot")
             return
-        part.answered = reply.body
+        part.answer = reply.body
         self._answered_count += 1
-        self._open.discard(reply.number)
+        self._open_numbers.discard(reply.number)
 
     def _close_part(self, number: int, reason: str) -> None:
-        self._open.discard(number)
+        self._open_numbers.discard(number)
         self._parts[number].reason = reason
         self._snapshot_absent = self._snapshot_absent or reason == SNAPSHOT_ABSENT
 
     @property
     def min_coverage_unreachable(self) -> bool:
         """Whether the minimum coverage can no longer be reached."""
-        max_answered = self._answered_count + len(self._open)
+        max_answered = self._answered_count + len(self._open_numbers)
         return not max_answered or max_answered < self._plan.min_coverage * len(self._parts) - 1e-9
 
     @property
@@ -269,13 +269,13 @@
     @property
     def nothing_ran(self) -> bool:
         """Whether it is certain that no part ran at any target."""
-        return not self._open and all(
-            not part.unresolved_owners and part.answered is None for part in self._parts
+        return not self._open_numbers and all(
+            not part.unresolved_owners and part.answer is None for part in self._parts
         )
 
     async def wait(self, until_s: float) -> None:
         """Wait until no part is open, the query can't succeed on its snapshot, or ``until_s``."""
-        while self._open and not self.min_coverage_unreachable and not self.snapshot_absent:
+        while self._open_numbers and not self.min_coverage_unreachable and not self.snapshot_absent:
             self._changed.clear()
             remaining_s = until_s - time.monotonic()
             if remaining_s <= 0:
@@ -295,17 +295,17 @@
     def coverage(self) -> outcome_module.Coverage:
         """Return how many parts are answered, and why each other one is missing."""
         missing = tuple(
-            outcome_module.Missing(part.shard, part.reason if not_open else "late")
+            outcome_module.Missing(part.shard, part.reason if closed else "late")
             for number, part in enumerate(self._parts)
-            if part.answered is None
-            for not_open in [number not in self._open]
+            if part.answer is None
+            for closed in [number not in self._open_numbers]
         )
         total = len(self._parts)
         return outcome_module.Coverage(total - len(missing), total, missing)
 
     def results(self) -> list[tuple[str, bytes]]:
         """Return the answers with their shards, in the order of the plan."""
-        return [(part.shard, part.answered) for part in self._parts if part.answered is not None]
+        return [(part.shard, part.answer) for part in self._parts if part.answer is not None]
 
     def first_reason(self) -> str:
         """Return the reason of the first missing part."""
--- a/src/turmericlug/query/outcome.py
+++ b/src/turmericlug/query/outcome.py
@@ -45,10 +45,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """Nothing ran; ``come_back_ms`` is the delay after which to retry."""
+    """Nothing ran; ``retry_after_ms`` is the delay after which to retry."""
 
     reason: str
-    come_back_ms: int
+    retry_after_ms: int
     rules_revision: int = 0
     rule: str = ""
 
@@ -61,7 +61,7 @@
     rules_revision: int = 0
     rule: str = ""
     coverage: Coverage | None = None
-    come_back_ms: int = 0
+    retry_after_ms: int = 0
 
 
 Outcome = Answer | Refused | Failed
@@ -92,20 +92,24 @@
             fields["snapshot"] = outcome.snapshot
             fields["coverage"] = _coverage_fields(outcome.coverage)
         case Refused():
-            fields |= {"ran": "no", "reason": outcome.reason, "come_back_ms": outcome.come_back_ms}
+            fields |= {
+                "ran": "no",
+                "reason": outcome.reason,
+                "come_back_ms": outcome.retry_after_ms,
+            }
         case Failed():
             fields |= {"ran": "maybe", "reason": outcome.reason}
-            if outcome.come_back_ms:
-                fields["come_back_ms"] = outcome.come_back_ms
+            if outcome.retry_after_ms:
+                fields["come_back_ms"] = outcome.retry_after_ms
             if outcome.coverage is not None:
                 fields["coverage"] = _coverage_fields(outcome.coverage)
     text = json.dumps(fields)
     if isinstance(outcome, Answer):
-        rows = ", ".join(
+        results = ", ".join(
             f'{{"shard": {json.dumps(shard)}, "result": {body.decode()}}}'
             for shard, body in outcome.results
         )
-        text = f'{text[:-1]}, "results": [{rows}]}}'
+        text = f'{text[:-1]}, "results": [{results}]}}'
     return text
 
 
@@ -113,5 +117,5 @@
     return {
         "answered": coverage.answered,
         "total": coverage.total,
-        "missing": [attrs.asdict(each) for each in coverage.missing],
+        "missing": [attrs.asdict(missing) for missing in coverage.missing],
     }
--- a/tests/mutants_daemon.py
+++ b/tests/mutants_daemon.py
@@ -175,7 +175,8 @@
     mutant.one(
         "accept-before-old-queries-end",
         "query/coordinator.py",
-        "while any(each < revision for each in self._running.values()):",
+        "while any(query_revision < revision for query_revision in "
+        "self._query_revisions.values()):",
         "while False:",
         "integration/test_rules.py::test_running_query_delays_acceptance",
     ),
--- a/tests/query/test_admission.py
+++ b/tests/query/test_admission.py
@@ -8,31 +8,34 @@
 
 
 @pytest.mark.parametrize(
-    ("wait_ms", "refused"), [(0, (0, 0)), (100, (0, 0)), (225, (400, 600)), (400, (1000, 1000))]
+    ("wait_ms", "refused_range"),
+    [(0, (0, 0)), (100, (0, 0)), (225, (400, 600)), (400, (1000, 1000))],
 )
-def test_share_of_refused_queries_grows_with_the_predicted_wait(wait_ms, refused):
-    limits = admission.Admission(random.Random(1))
-    limits.record_wait("a", 5, "c", wait_ms)
-    limits.record_wait("b", 5, "c", 0.0)
-    count = sum(bool(limits.overload_retry_after_ms(("a", "b"), 5, "c", 1000)) for _ in range(1000))
-    assert refused[0] <= count <= refused[1]
+def test_share_of_refused_queries_grows_with_the_predicted_wait(wait_ms, refused_range):
+    checks = admission.Admission(random.Random(1))
+    checks.record_wait("a", 5, "c", wait_ms)
+    checks.record_wait("b", 5, "c", 0.0)
+    refused_count = sum(
+        bool(checks.overload_retry_after_ms(("a", "b"), 5, "c", 1000)) for _ in range(1000)
+    )
+    assert refused_range[0] <= refused_count <= refused_range[1]
 
 
 def test_a_caller_with_a_long_wait_affects_no_other_caller_or_priority():
-    limits = admission.Admission(random.Random(1))
-    limits.record_wait("a", 5, "storm", 900)
-    assert limits.overload_retry_after_ms(("a",), 5, "storm", 1000)
-    assert not limits.overload_retry_after_ms(("a",), 5, "calm", 1000)
-    assert not limits.overload_retry_after_ms(("a",), 6, "storm", 1000)
+    checks = admission.Admission(random.Random(1))
+    checks.record_wait("a", 5, "storm", 900)
+    assert checks.overload_retry_after_ms(("a",), 5, "storm", 1000)
+    assert not checks.overload_retry_after_ms(("a",), 5, "calm", 1000)
+    assert not checks.overload_retry_after_ms(("a",), 6, "storm", 1000)
 
 
 def test_each_instance_applies_its_share_of_a_rate(monkeypatch):
-    limits = admission.Admission(random.Random(1))
+    checks = admission.Admission(random.Random(1))
     now_s = [0.0]
     monkeypatch.setattr(admission.time, "monotonic", lambda: now_s[0])
-    passed = 0
+    admitted_count = 0
     for _ in range(1000):
         now_s[0] += 0.01
-        passed += not limits.rate_limit_retry_after_ms("r", 30.0, 3)
-    assert 98 <= passed <= 111
-    assert 0 < limits.rate_limit_retry_after_ms("r", 30.0, 3) <= 100
+        admitted_count += not checks.rate_limit_retry_after_ms("r", 30.0, 3)
+    assert 98 <= admitted_count <= 111
+    assert 0 < checks.rate_limit_retry_after_ms("r", 30.0, 3) <= 100
--- a/tests/query/test_outcome.py
+++ b/tests/query/test_outcome.py
@@ -25,10 +25,10 @@
     ],
 )
 def test_json_form_of_each_outcome(result, name, fields):
-    plain = json.loads(outcome.to_json(result, "e1", "q1"))
-    assert plain["outcome"] == outcome.name_of(result) == name
-    assert plain | fields == plain
+    payload = json.loads(outcome.to_json(result, "e1", "q1"))
+    assert payload["outcome"] == outcome.name_of(result) == name
+    assert payload | fields == payload
     if name == "partial":
-        assert plain["coverage"]["missing"] == [{"shard": "b", "reason": "late"}]
-    if "results" in plain:
-        assert plain["results"] == [{"shard": "a", "result": {"size": 27}}]
+        assert payload["coverage"]["missing"] == [{"shard": "b", "reason": "late"}]
+    if "results" in payload:
+        assert payload["results"] == [{"shard": "a", "result": {"size": 27}}]
