--- a/src/turmericlug/owner/owner.py
+++ b/src/turmericlug/owner/owner.py
@@ -231,7 +231,7 @@
                 max(self._settings.platform.instances_poll_ms / 1000, 0.5),
             )
         except instances.InstancesError:
-            return  # keeps the known replicas, with the state learned from own attempts
+            return  # what is known from own attempts is better than nothing
         catalog_entry = self._config.catalog.services.get(service)
         warm_ups = []
         for entry in listed:
