--- a/tests/owner/test_selection.py
+++ b/tests/owner/test_selection.py
@@ -16,7 +16,7 @@
 
 
 def ejected(name):
-    return replica(name, ejections=1, ejected_until_s=NOW_S + 5)
+    return replica(name, consecutive_ejections=1, ejected_until_s=NOW_S + 5)
 
 
 @pytest.mark.parametrize(
@@ -26,12 +26,14 @@
         pytest.param([replica("a"), replica("b")], ["a", "b"], 4.0, id="all healthy"),
         pytest.param([replica("a"), ejected("b")], ["a"], 2.0, id="one ejected"),
         pytest.param([ejected("a"), ejected("b")], ["a", "b"], 4.0, id="all ejected, all eligible"),
-        pytest.param([replica("a", leaving="draining")], [], 0.0, id="a draining one, never"),
+        pytest.param(
+            [replica("a", draining_reason="draining")], [], 0.0, id="a draining one, never"
+        ),
     ],
 )
 def test_eligible_replicas_and_their_slots(replicas, names, slots):
-    selected = selection.eligible(replicas, NOW_S)
-    assert [each.instance for each in selected] == names
+    eligible = selection.eligible(replicas, NOW_S)
+    assert [eligible_replica.instance for eligible_replica in eligible] == names
     assert selection.total_slots(replicas, NOW_S) == slots
 
 
@@ -64,9 +66,9 @@
         retries=1,
         body=b"{}",
         reply=lambda reply: None,
-        attempt_prefix="q",
+        attempt_id_prefix="q",
     )
-    part.tried |= tried
+    part.tried_replicas |= tried
     selected = selection.select_untried(replicas, NOW_S, part)
     assert (selected.instance if selected else None) == untried
     selected = selection.select_for_retry(replicas, NOW_S, part)
