--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -176,7 +176,7 @@
             client.connect,
             entry.host,
             entry.port,
-            on_unasked=functools.partial(on_unexpected_bytes, entry),
+            on_unexpected_bytes=functools.partial(on_unexpected_bytes, entry),
         )
         return pool_module.Pool(
             connect,
--- a/src/turmericlug/http1/client.py
+++ b/src/turmericlug/http1/client.py
@@ -90,13 +90,13 @@
 class Connection(asyncio.Protocol):
     """A connection that carries one request at a time."""
 
-    def __init__(self, on_unasked: abc.Callable[[], None] | None = None) -> None:
+    def __init__(self, on_unexpected_bytes: abc.Callable[[], None] | None = None) -> None:
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._pending: asyncio.Future[Response] | None = None
         self._partial = _PartialResponse([], [])
         self._complete: Response | None = None
-        self._on_unasked = on_unasked
+        self._on_unexpected_bytes = on_unexpected_bytes
         self.closed = False
         self.idle_since_s = 0.0
         self.keep_idle_s: float | None = None
@@ -117,8 +117,8 @@
         after a complete one): they could be taken for the response to the next request.
         """
         if self._pending is None:
-            if self._on_unasked is not None:
-                self._on_unasked()
+            if self._on_unexpected_bytes is not None:
+                self._on_unexpected_bytes()
             self.close()
             return
         try:
@@ -208,8 +208,8 @@
         if self._complete is not None:
             self._complete = attrs.evolve(self._complete, reusable=False)
         self.closed = True
-        if self._on_unasked is not None:
-            self._on_unasked()
+        if self._on_unexpected_bytes is not None:
+            self._on_unexpected_bytes()
 
     def _deliver(self) -> None:
         if self._complete is None or self._pending is None:
@@ -277,19 +277,19 @@
     host: str,
     port: int,
     timeout_s: float = CONNECT_TIMEOUT_S,
-    on_unasked: abc.Callable[[], None] | None = None,
+    on_unexpected_bytes: abc.Callable[[], None] | None = None,
 ) -> Connection:
     """
     Open a connection.
 
-    :param on_unasked: called when bytes arrive that belong to no pending request
+    :param on_unexpected_bytes: called when bytes arrive that belong to no pending request
     :raises ConnectError: the address refuses, is unreachable or does not accept in time
     """
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout_s):
             transport, connection = await loop.create_connection(
-                lambda: Connection(on_unasked), host, port
+                lambda: Connection(on_unexpected_bytes), host, port
             )
     except TimeoutError:
         raise ConnectError("no connection in time") from None
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -131,7 +131,9 @@
             await reader.read()
 
         async with scripted(script) as address:
-            connection = await client.connect(*address, on_unasked=lambda: unasked.append(1))
+            connection = await client.connect(
+                *address, on_unexpected_bytes=lambda: unasked.append(1)
+            )
             await connection.exchange(REQUEST)
             assert not connection.closed
             sent.set()
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -8,8 +8,8 @@
     mutant.one(
         "accept-surplus-bytes",
         "http1/client.py",
-        "        if self._pending is None:\n            if self._on_unasked",
-        "        if self._pending is None and not data:\n            if self._on_unasked",
+        "        if self._pending is None:\n            if self._on_unexpected_bytes",
+        "        if self._pending is None and not data:\n            if self._on_unexpected_bytes",
         "http1/test_client.py::test_bytes_on_an_idle_connection_close_it",
     ),
     mutant.one(
