--- a/src/turmericlug/query/fan_out.py
+++ b/src/turmericlug/query/fan_out.py
@@ -142,7 +142,11 @@
     def _submit_to_peer(self, instance: str, numbers: list[int]) -> None:
         link = self._mesh.link(instance)
         # A silent owner may be suspended: until it answers, new parts go to the next owner.
-        if link is None or not link.is_up or (link.silent and self._plan.parameters.repeatable):
+        if (
+            link is None
+            or not link.is_connected
+            or (link.silent and self._plan.parameters.repeatable)
+        ):
             self._send_to_next_owner(numbers, "owner_unreachable")
             return
         unanswered = set(numbers)
--- a/src/turmericlug/wire/link.py
+++ b/src/turmericlug/wire/link.py
@@ -73,7 +73,7 @@
         self._used_at_s = time.monotonic()
 
     @property
-    def is_up(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether the link is connected."""
         return self._outbox is not None
 
