--- a/src/turmericlug/direct/pool.py
+++ b/src/turmericlug/direct/pool.py
@@ -184,7 +184,7 @@
         else:
             if used:
                 connection.idle_since_s = self.now_s()
-                self.keep_alive.record(connection.keep_idle_s)
+                self.keep_alive.record(connection.keep_alive_timeout_s)
             self._idle.append(connection)
         self._wake_next()
 
@@ -240,7 +240,7 @@
             self._wake_next()
 
     def _max_idle_s(self, connection: client.Connection) -> float:
-        advertised_s = connection.keep_idle_s
+        advertised_s = connection.keep_alive_timeout_s
         if advertised_s is None:
             advertised_s = self.keep_alive.timeout_s
         return (
--- a/src/turmericlug/entry/callers.py
+++ b/src/turmericlug/entry/callers.py
@@ -180,7 +180,7 @@
         spent_ms = remaining_times.spent_ms(
             remaining_ms, MAX_SPENT_SHARE * route.goal_ms, route.timeout_ms
         )
-        sent_s = request.arrived_s - request.way_back_s
+        sent_s = request.arrived_s - request.response_latency_s
         return sending.Call(
             request_id=request_id,
             method=request.method,
@@ -191,7 +191,7 @@
             version=version,
             began_s=min(request.began_s, sent_s - spent_ms / 1000),
             deadline_s=min(sent_s + remaining_ms / 1000, request.began_s + route.timeout_ms / 1000),
-            response_latency_s=request.way_back_s,
+            response_latency_s=request.response_latency_s,
             fingerprint=content.fingerprint(
                 request.method, target, headers, request.body, self.sender.names
             ),
--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -370,7 +370,7 @@
     grace_s = kernel.find("live settings").policy.grace_s
     caller_server, handler = kernel.find("callers"), kernel.find("handler")
     decisions.log("instance.leaving", connections=len(caller_server.connections), grace_s=grace_s)
-    caller_server.leave()
+    caller_server.drain()
     await kernel.find("registration").close()
     refuse_at_s = began_s + REFUSE_AFTER_SHARE * grace_s
     exit_at_s = began_s + grace_s - EXIT_MARGIN_S
--- a/src/turmericlug/entry/listeners.py
+++ b/src/turmericlug/entry/listeners.py
@@ -123,4 +123,4 @@
 
 
 def _is_draining(kernel: Kernel) -> bool:
-    return kernel.find("callers").leaving
+    return kernel.find("callers").draining
--- a/src/turmericlug/http1/client.py
+++ b/src/turmericlug/http1/client.py
@@ -99,7 +99,7 @@
         self._on_unexpected_bytes = on_unexpected_bytes
         self.closed = False
         self.idle_since_s = 0.0
-        self.keep_idle_s: float | None = None
+        self.keep_alive_timeout_s: float | None = None
         """Keep-alive timeout that the server announced; ``None`` without one."""
         self.exchanges = 0
         self._on_interim: abc.Callable[[], None] | None = None
@@ -217,7 +217,7 @@
         response, waiting = self._complete, self._pending
         self._complete = self._pending = None
         self._parser = httptools.HttpResponseParser(self)
-        self.keep_idle_s = _keep_idle_s(response.header(b"keep-alive"))
+        self.keep_alive_timeout_s = _keep_alive_timeout_s(response.header(b"keep-alive"))
         if not response.reusable:
             self.close()
         if not waiting.done():
@@ -265,7 +265,7 @@
             self._transport.abort()
 
 
-def _keep_idle_s(value: bytes | None) -> float | None:
+def _keep_alive_timeout_s(value: bytes | None) -> float | None:
     for item in (value or b"").split(b","):
         key, _, number = item.strip().partition(b"=")
         if key.lower() == b"timeout" and number.isdigit():
--- a/src/turmericlug/http1/messages.py
+++ b/src/turmericlug/http1/messages.py
@@ -31,7 +31,7 @@
     """Time of its first byte, on the event loop's clock."""
     began_s: float = 0.0
     """Estimated time at which the caller started, including connection setup."""
-    way_back_s: float = 0.0
+    response_latency_s: float = 0.0
     """Estimated one-way latency of the response to the caller."""
     stalled_s: float = 0.0
     """How long the event loop was blocked before it read the request."""
--- a/src/turmericlug/http1/server.py
+++ b/src/turmericlug/http1/server.py
@@ -54,7 +54,7 @@
         self.limits = limits
         self.max_connections = max_connections
         self.connections: set[_Connection] = set()
-        self.leaving = False
+        self.draining = False
         self._longest_idle: collections.deque[tuple[float, float]] = collections.deque()
 
     def idle_timeout_s(self, now_s: float) -> float:
@@ -73,9 +73,9 @@
             seen.popleft()
         return max(each for _, each in seen) + _IDLE_SLACK_S
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Start draining: every response from now on has ``connection: close``."""
-        self.leaving = True
+        self.draining = True
 
     def close(self) -> None:
         """Close every connection."""
@@ -244,7 +244,7 @@
             while self._queue and not self._transport.is_closing():
                 request = self._queue.popleft()
                 answer = await self._call_handler(request)
-                close = answer.close or self._server.leaving or (self._is_last and not self._queue)
+                close = answer.close or self._server.draining or (self._is_last and not self._queue)
                 await self._write(request, answer, close)
                 if close:
                     self._linger()
--- a/tests/direct/test_pool.py
+++ b/tests/direct/test_pool.py
@@ -15,7 +15,7 @@
 class Connection:
     """Stand-in with the members of a connection that a pool uses."""
 
-    keep_idle_s: float | None = None
+    keep_alive_timeout_s: float | None = None
     idle_since_s: float = 0.0
     exchanges: int = 0
     closed: bool = False
@@ -42,7 +42,7 @@
 async def exchange(pool, keep_alive_s):
     async with pool.connection(0) as connection:
         connection.exchanges += 1
-        connection.keep_idle_s = keep_alive_s
+        connection.keep_alive_timeout_s = keep_alive_s
 
 
 @pytest.mark.parametrize(
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -228,7 +228,7 @@
         return answering.refusal(sender, "recorded")
 
     monkeypatch.setattr(answering, "query_shards", record_call)
-    way_back_s = 0.003
+    response_latency_s = 0.003
 
     async def main():
         sender = scripted.make_sender({"s": {"a": scripted.Scripted(scripted.response())}})
@@ -248,13 +248,15 @@
                     headers,
                     b"",
                     now_s,
-                    now_s - one_way_trips * way_back_s,
-                    way_back_s,
+                    now_s - one_way_trips * response_latency_s,
+                    response_latency_s,
                 )
             )
-            began_s = now_s - way_back_s - spent_ms / 1000
+            began_s = now_s - response_latency_s - spent_ms / 1000
             late_by_ms.append((calls[-1].began_s - began_s) * 1000)
-            assert calls[-1].deadline_s == pytest.approx(now_s - way_back_s + stated_ms / 1000)
+            assert calls[-1].deadline_s == pytest.approx(
+                now_s - response_latency_s + stated_ms / 1000
+            )
         return late_by_ms
 
     late_by_ms = asyncio.run(main())
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -135,7 +135,7 @@
             reader, writer = await asyncio.open_connection(*address)
             writer.write(GOOD)
             assert b"keep-alive" in await reader.readuntil(b"GET /a/1 ")
-            http_server.leave()
+            http_server.drain()
             writer.write(GOOD)
             assert b"connection: close" in await reader.read()
             writer.close()
@@ -200,7 +200,7 @@
 
     asyncio.run(main())
     first, second = (request.arrived_s - request.began_s for request in seen)
-    way_back_s = seen[0].way_back_s
-    assert way_back_s > 0
-    assert first == pytest.approx(3 * way_back_s)
-    assert second == pytest.approx(seen[1].way_back_s)
+    response_latency_s = seen[0].response_latency_s
+    assert response_latency_s > 0
+    assert first == pytest.approx(3 * response_latency_s)
+    assert second == pytest.approx(seen[1].response_latency_s)
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -126,7 +126,7 @@
     mutant.one(
         "drain-without-connection-close",
         "http1/server.py",
-        "close = answer.close or self._server.leaving or",
+        "close = answer.close or self._server.draining or",
         "close = answer.close or",
         "http1/test_server.py::test_a_draining_server_answers_with_connection_close",
     ),
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -48,7 +48,7 @@
         self.replica = replica
         self.closed = False
         self.idle_since_s = 0.0
-        self.keep_idle_s = None
+        self.keep_alive_timeout_s = None
         self.exchanges = 0
 
     async def exchange(self, request):
