--- a/src/turmericlug/owner/owner.py
+++ b/src/turmericlug/owner/owner.py
@@ -328,7 +328,7 @@
                 ]
             )
             return
-        request.cancelled = self.submit(parts_request, on_replies)
+        request.on_cancel = self.submit(parts_request, on_replies)
 
     async def run(self) -> None:
         """Open the queues of owned services in advance, and close those no longer owned."""
--- a/src/turmericlug/wire/server.py
+++ b/src/turmericlug/wire/server.py
@@ -27,7 +27,7 @@
     peer: str
     message: codec.Envelope
     _outbox: outbox.Outbox
-    cancelled: abc.Callable[[], None] | None = None
+    on_cancel: abc.Callable[[], None] | None = None
 
     def reply(self, fill: abc.Callable[[codec.Envelope], None]) -> None:
         """Send one reply; a request may have several."""
@@ -75,8 +75,8 @@
         finally:
             writer.transport.abort()
             for request in requests.values():
-                if request.cancelled is not None:
-                    request.cancelled()
+                if request.on_cancel is not None:
+                    request.on_cancel()
 
     async def _read(
         self,
@@ -93,8 +93,8 @@
                 kind = message.which()
                 if kind == "cancel":
                     request = requests.pop(message.requestId, None)
-                    if request is not None and request.cancelled is not None:
-                        request.cancelled()
+                    if request is not None and request.on_cancel is not None:
+                        request.on_cancel()
                     continue
                 # A duplicated frame would run a request twice. Request IDs strictly increase on a
                 # connection, so a duplicate is detected and closes the connection.
@@ -109,7 +109,7 @@
             request.reply(lambda envelope: setattr(envelope, "fault", "unknown_request"))
             return
         outcome = handler(request)
-        if request.cancelled is not None:
+        if request.on_cancel is not None:
             requests[request.message.requestId] = request
             if len(requests) > 4096:
                 for number in list(requests)[:2048]:
