--- a/src/turmericlug/direct/answering.py
+++ b/src/turmericlug/direct/answering.py
@@ -35,7 +35,7 @@
 class Result:
     """The answer to a request, with its outcome and the reason for it."""
 
-    answer: messages.Answer
+    answer: messages.Response
     outcome: str
     """``answered``, ``partial``, ``refused`` (nothing ran) or ``failed`` (it may have run)."""
     reason: str = ""
@@ -58,13 +58,13 @@
 ) -> Result:
     """Return a 503 with ``Retry-After``: the request did not run and will not run."""
     delay = b"%.3f" % draw_delay_s(sender.rng)
-    answer = messages.Answer(503, ((sender.names.retry_after, delay),), reason.encode())
+    answer = messages.Response(503, ((sender.names.retry_after, delay),), reason.encode())
     return Result(answer, "refused", reason)
 
 
 def failure(status: int, reason: str) -> Result:
     """Return a failure that leaves open whether the request ran."""
-    return Result(messages.Answer(status, (), reason.encode()), "failed", reason)
+    return Result(messages.Response(status, (), reason.encode()), "failed", reason)
 
 
 async def request_service(sender: sender_module.Sender, call: sending.Call, service: str) -> Result:
@@ -94,11 +94,11 @@
     return Result(_forwarded(outcome.response, status), "failed", f"replica_status_{status}")
 
 
-def _forwarded(response: client.Response, status: int) -> messages.Answer:
+def _forwarded(response: client.Response, status: int) -> messages.Response:
     headers = tuple(
         (name, value) for name, value in client.end_to_end(response.headers) if name != _DATE
     )
-    return messages.Answer(status, headers, response.body)
+    return messages.Response(status, headers, response.body)
 
 
 async def query_shards(sender: sender_module.Sender, call: sending.Call) -> Result:
@@ -269,7 +269,7 @@
         (b"content-type", b"application/octet-stream"),
     ]
     body = merge.greatest_records(_record_sets(received), call.route.top_records)
-    answer = messages.Answer(200, tuple(headers), body)
+    answer = messages.Response(200, tuple(headers), body)
     if not missing:
         return Result(answer, "answered")
     sender.counters.add("direct.missing_parts", len(missing))
--- a/src/turmericlug/entry/batches.py
+++ b/src/turmericlug/entry/batches.py
@@ -37,20 +37,20 @@
 def handler(sender: sender_module.Sender) -> messages.Handler:
     """Return the handler of batches."""
 
-    async def handle(request: messages.Request) -> messages.Answer:
+    async def handle(request: messages.Request) -> messages.Response:
         if request.target != handover.PATH:
-            return messages.Answer(404)
+            return messages.Response(404)
         try:
             batch = handover_codec.decode_batch(request.body)
         except handover_codec.MessageError as error:
             decisions.log("helping.unreadable", reason=str(error))
-            return messages.Answer(400)
+            return messages.Response(400)
         reason = _refusal_reason(sender, batch, request.stalled_s)
         if reason:
             sender.counters.add("helping.refused")
             decisions.log("helping.refused", request=batch.request_id, **reason)
-            return messages.Answer(handover.REFUSED_STATUS)
-        return messages.Answer(200, chunks=_stream_answers(sender, batch, request.arrived_s))
+            return messages.Response(handover.REFUSED_STATUS)
+        return messages.Response(200, chunks=_stream_answers(sender, batch, request.arrived_s))
 
     return handle
 
--- a/src/turmericlug/entry/callers.py
+++ b/src/turmericlug/entry/callers.py
@@ -94,7 +94,7 @@
         self._slow_start = slow_start.SlowStart(self._started_s)
         self._configured = asyncio.Event()
 
-    async def handle(self, request: messages.Request) -> messages.Answer:
+    async def handle(self, request: messages.Request) -> messages.Response:
         """Answer one request."""
         configuration = self.view.configuration or await self._wait_for_configuration()
         if configuration is None:
@@ -197,7 +197,7 @@
             ),
         )
 
-    async def _answer_call(self, call: sending.Call, caller_host: str) -> messages.Answer:
+    async def _answer_call(self, call: sending.Call, caller_host: str) -> messages.Response:
         loop = asyncio.get_running_loop()
         decisions.log(
             "query.routed",
@@ -311,7 +311,7 @@
             repeats=call.retries,
         )
 
-    def _refused(self, request: messages.Request, reason: str) -> messages.Answer:
+    def _refused(self, request: messages.Request, reason: str) -> messages.Response:
         self.sender.counters.add(f"entry.refused.{reason}")
         decisions.log(
             "query.refused",
@@ -321,10 +321,10 @@
         )
         return answering.refusal(self.sender, reason).answer
 
-    def _bad_request(self, request: messages.Request, field: str) -> messages.Answer:
+    def _bad_request(self, request: messages.Request, field: str) -> messages.Response:
         self.sender.counters.add(f"entry.bad_request.{field}")
         decisions.log("query.bad_request", lacking=field)
-        return messages.Answer(400, body=f"{field} is missing or repeated".encode())
+        return messages.Response(400, body=f"{field} is missing or repeated".encode())
 
     def _no_route(
         self,
@@ -332,7 +332,7 @@
         configuration: routes.Configuration,
         host: str,
         path: str,
-    ) -> messages.Answer:
+    ) -> messages.Response:
         if self._source_age_s() > STALE_AGE_S:
             return self._refused(request, "route_perhaps_new")
         self.sender.counters.add("entry.no_route")
@@ -343,7 +343,7 @@
             path=path[:100],
             version=configuration.version,
         )
-        return messages.Answer(404, body=b"no route")
+        return messages.Response(404, body=b"no route")
 
 
 def _origin_form(target: bytes) -> bytes:
--- a/src/turmericlug/entry/inspection.py
+++ b/src/turmericlug/entry/inspection.py
@@ -66,7 +66,7 @@
 ) -> messages.Handler:
     """Return the handler of the inspection endpoints; any other path is answered with 404."""
 
-    async def handle(request: messages.Request) -> messages.Answer:
+    async def handle(request: messages.Request) -> messages.Response:
         path, _, query = request.target.partition(b"?")
         if path == STATUS_PATH:
             return _answer(status(name, view, ready()))
@@ -77,18 +77,18 @@
         if path.startswith(QUARANTINE_PATH + b"/") and request.method == b"POST":
             return _lift(quarantine, path.removeprefix(QUARANTINE_PATH + b"/"))
         if path != EXPLAIN_PATH:
-            return messages.Answer(404)
+            return messages.Response(404)
         parameters = urllib.parse.parse_qs(query.decode("latin-1"))
         host, target = (parameters.get(key, [""])[0] for key in ("host", "path"))
         if not host or not target.startswith("/"):
-            return messages.Answer(400, body=b"host and path are required; path starts with /")
+            return messages.Response(400, body=b"host and path are required; path starts with /")
         return _answer(explain(view, host, target))
 
     return handle
 
 
-def _answer(result: Json, status: int = 200) -> messages.Answer:
-    return messages.Answer(status, _JSON, json.dumps(result).encode())
+def _answer(result: Json, status: int = 200) -> messages.Response:
+    return messages.Response(status, _JSON, json.dumps(result).encode())
 
 
 def list_withheld(quarantine: quarantine_module.Quarantine) -> list[WithheldRequest]:
@@ -109,7 +109,7 @@
     return sorted(requests, key=lambda request: min(request.ends.values(), default=0.0))
 
 
-def _lift(quarantine: quarantine_module.Quarantine, content: bytes) -> messages.Answer:
+def _lift(quarantine: quarantine_module.Quarantine, content: bytes) -> messages.Response:
     try:
         request = bytes.fromhex(content.decode("latin-1"))
     except ValueError:
--- a/src/turmericlug/entry/listeners.py
+++ b/src/turmericlug/entry/listeners.py
@@ -90,7 +90,7 @@
         kernel.find("sender").quarantine,
     )
 
-    async def handle(request: messages.Request) -> messages.Answer:
+    async def handle(request: messages.Request) -> messages.Response:
         if request.target.startswith(metrics.PATH):
             return await serve_metrics(request)
         return await serve_inspection(request)
@@ -107,7 +107,7 @@
     )
     exchange_suspects = suspects.handler(kernel.find("sender").quarantine, kernel.find("teller"))
 
-    async def handle(request: messages.Request) -> messages.Answer:
+    async def handle(request: messages.Request) -> messages.Response:
         if request.target.startswith(relay.PATH):
             return await serve_updates(request)
         if request.target == suspects.PATH:
--- a/src/turmericlug/entry/metrics.py
+++ b/src/turmericlug/entry/metrics.py
@@ -11,10 +11,10 @@
 def handler(counters: counters_module.Counters) -> messages.Handler:
     """Return the handler of the metrics endpoint."""
 
-    async def handle(request: messages.Request) -> messages.Answer:
+    async def handle(request: messages.Request) -> messages.Response:
         if request.target.partition(b"?")[0] != PATH:
-            return messages.Answer(404)
-        return messages.Answer(200, ((b"content-type", b"text/plain"),), text(counters).encode())
+            return messages.Response(404)
+        return messages.Response(200, ((b"content-type", b"text/plain"),), text(counters).encode())
 
     return handle
 
--- a/src/turmericlug/entry/relay.py
+++ b/src/turmericlug/entry/relay.py
@@ -59,12 +59,12 @@
 ) -> messages.Handler:
     """Return the handler of requests for changes."""
 
-    async def handle(request: messages.Request) -> messages.Answer:
+    async def handle(request: messages.Request) -> messages.Response:
         position, _, rest = request.target.removeprefix(PATH).partition(b"/")
         wait_ms, _, name = rest.partition(b"/")
         after = _position(position)
         if not (after and wait_ms.isdigit() and name):
-            return messages.Answer(404)
+            return messages.Response(404)
         peer_liveness.record_contact(name.decode("latin-1"), asyncio.get_running_loop().time())
         try:
             # Reply as soon as the age limit is reached: an instance that waited a full second for a
@@ -75,7 +75,7 @@
             changes = await journal.since(after, wait_s)
         except source_module.HistoryLostError:
             changes = None
-        return messages.Answer(200, body=relay_codec.encode(changes, source_age_s()))
+        return messages.Response(200, body=relay_codec.encode(changes, source_age_s()))
 
     return handle
 
--- a/src/turmericlug/entry/suspects.py
+++ b/src/turmericlug/entry/suspects.py
@@ -46,18 +46,18 @@
 ) -> messages.Handler:
     """Return the HTTP handler of reports by other instances."""
 
-    async def handle(request: messages.Request) -> messages.Answer:
+    async def handle(request: messages.Request) -> messages.Response:
         now_s = asyncio.get_running_loop().time()
         try:
             report = suspects_codec.decode(request.body, now_s)
         except suspects_codec.MessageError as error:
             decisions.log("poison.unreadable", reason=str(error))
-            return messages.Answer(400)
+            return messages.Response(400)
         suspect_gossip.merge_report(report.records)
         table = quarantine.table
         withheld = dict(table.withheld(now_s)) if report.wants_all else {}
         answer = suspects_codec.Suspects(withheld | table.corrections(report.records, now_s))
-        return messages.Answer(200, body=suspects_codec.encode(answer, now_s))
+        return messages.Response(200, body=suspects_codec.encode(answer, now_s))
 
     return handle
 
--- a/src/turmericlug/http1/messages.py
+++ b/src/turmericlug/http1/messages.py
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen
-class Answer:
+class Response:
     """The response to a caller."""
 
     status: int
@@ -58,4 +58,4 @@
     """The body in chunks, each sent as soon as it is available; replaces ``body``."""
 
 
-Handler = abc.Callable[[Request], abc.Awaitable[Answer]]
+Handler = abc.Callable[[Request], abc.Awaitable[Response]]
--- a/src/turmericlug/http1/server.py
+++ b/src/turmericlug/http1/server.py
@@ -258,16 +258,18 @@
             else:
                 self._start_head_timer()
 
-    async def _call_handler(self, request: messages.Request) -> messages.Answer:
+    async def _call_handler(self, request: messages.Request) -> messages.Response:
         try:
             return await self._server.handler(request)
         except Exception as error:
             # A bug in the handler must not close the connection without a response. The response
             # does not say whether the request ran.
             decisions.log("caller.failed", reason=f"{type(error).__name__}: {error}"[:300])
-            return messages.Answer(500, close=True)
+            return messages.Response(500, close=True)
 
-    async def _write(self, request: messages.Request, answer: messages.Answer, close: bool) -> None:
+    async def _write(
+        self, request: messages.Request, answer: messages.Response, close: bool
+    ) -> None:
         idle_s = int(self._server.limits().idle_timeout_s)
         self._transport.write(_answer_bytes(request.method, answer, close, idle_s))
         if answer.chunks is None:
@@ -291,7 +293,7 @@
         if self._transport.is_closing():
             return
         extra = ((b"retry-after", b"0.5"),) if status == 503 else ()
-        answer = messages.Answer(status, extra, reason.encode())
+        answer = messages.Response(status, extra, reason.encode())
         self._transport.write(_answer_bytes(b"GET", answer, True, 0))
         self._linger()
 
@@ -339,7 +341,7 @@
         self._transport.close()
 
 
-def _answer_bytes(method: bytes, answer: messages.Answer, close: bool, idle_s: int) -> bytes:
+def _answer_bytes(method: bytes, answer: messages.Response, close: bool, idle_s: int) -> bytes:
     try:
         phrase = http.HTTPStatus(answer.status).phrase.encode()
     except ValueError:
--- a/src/turmericlug/platform/interfaces.py
+++ b/src/turmericlug/platform/interfaces.py
@@ -16,17 +16,17 @@
 def resolve_handler(directory: directory_module.Directory) -> messages.Handler:
     """Return the handler of requests for the addresses that a caller may connect to."""
 
-    async def handle(request: messages.Request) -> messages.Answer:
+    async def handle(request: messages.Request) -> messages.Response:
         path, _, query = request.target.partition(b"?")
         if path != names.RESOLVE_PATH:
-            return messages.Answer(404)
+            return messages.Response(404)
         parameters = urllib.parse.parse_qs(query.decode("latin-1"))
         region, data_centre, host = ((parameters.get(key) or [""])[0] for key in _RESOLVE_KEYS)
         addresses = directory.addresses(region, data_centre, host)
         if not addresses:
-            return messages.Answer(503)
+            return messages.Response(503)
         body = json.dumps({"addrs": addresses, "ttl_s": directory.lifetime_s}).encode()
-        return messages.Answer(200, ((b"content-type", b"application/json"),), body)
+        return messages.Response(200, ((b"content-type", b"application/json"),), body)
 
     return handle
 
@@ -34,9 +34,9 @@
 def ready_handler(ready: abc.Callable[[], bool]) -> messages.Handler:
     """Return the handler of the readiness check: whether this instance may receive callers."""
 
-    async def handle(request: messages.Request) -> messages.Answer:
+    async def handle(request: messages.Request) -> messages.Response:
         if request.target.partition(b"?")[0] != names.READY_PATH:
-            return messages.Answer(404)
-        return messages.Answer(200 if ready() else 503)
+            return messages.Response(404)
+        return messages.Response(200 if ready() else 503)
 
     return handle
--- a/tests/direct/test_handover.py
+++ b/tests/direct/test_handover.py
@@ -72,15 +72,15 @@
 
 
 async def failing(request):
-    return messages.Answer(500)
+    return messages.Response(500)
 
 
 async def refusing(request):
-    return messages.Answer(503)
+    return messages.Response(503)
 
 
 async def garbage(request):
-    return messages.Answer(200, body=b"garbage")
+    return messages.Response(200, body=b"garbage")
 
 
 async def incomplete(request):
@@ -89,7 +89,7 @@
             handover_codec.Answer(bytes(16), {"y": b"sigy"}, {}, 1.0), ("x", "y")
         )
 
-    return messages.Answer(200, chunks=chunks())
+    return messages.Response(200, chunks=chunks())
 
 
 @pytest.mark.parametrize(
@@ -393,7 +393,7 @@
             raise ConnectionError
             yield b""
 
-        return messages.Answer(200, chunks=chunks())
+        return messages.Response(200, chunks=chunks())
 
     async def main():
         names = [f"far-{number}" for number in range(replicas)]
--- a/tests/direct/test_regions.py
+++ b/tests/direct/test_regions.py
@@ -115,7 +115,7 @@
 
         async def handle(request):
             received.append(handover_codec.decode_batch(request.body))
-            return messages.Answer(503)
+            return messages.Response(503)
 
         async with handing.peer(handle) as peer_handover:
             sender.handover = peer_handover
--- a/tests/entry/test_early.py
+++ b/tests/entry/test_early.py
@@ -34,7 +34,7 @@
     listener = early.listener([early.OPTION, f"{host}:{port}"])
 
     async def handler(request):
-        return messages.Answer(200, body=b"good")
+        return messages.Response(200, body=b"good")
 
     async def main():
         connection = await client.connect(host, port)
--- a/tests/entry/test_relay.py
+++ b/tests/entry/test_relay.py
@@ -213,11 +213,11 @@
 
 
 async def garbage(request):
-    return messages.Answer(200, body=b"\xff" * 40)
+    return messages.Response(200, body=b"\xff" * 40)
 
 
 async def failing(request):
-    return messages.Answer(500)
+    return messages.Response(500)
 
 
 async def stale(request):
--- a/tests/entry/test_suspects.py
+++ b/tests/entry/test_suspects.py
@@ -59,7 +59,7 @@
         handle = suspects.handler(self.quarantine, self.gossip)
 
         async def handler(request):
-            return messages.Answer(404) if self.cut_off else await handle(request)
+            return messages.Response(404) if self.cut_off else await handle(request)
 
         http_server = server.Server(handler, messages.Limits, 100)
         listener = await server.listen(http_server, "127.0.0.1", 0)
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -29,7 +29,7 @@
 
 async def echo(request):
     body = b"%s %s %s" % (request.method, request.target, request.body)
-    return messages.Answer(200, body=body)
+    return messages.Response(200, body=body)
 
 
 async def talk(address, *pieces):
@@ -193,7 +193,7 @@
     async def main():
         async def note(request):
             seen.append(request)
-            return messages.Answer(200)
+            return messages.Response(200)
 
         async with serving(note) as (_, address):
             await talk(address, GOOD, CLOSING)
--- a/tests/integration/test_entry.py
+++ b/tests/integration/test_entry.py
@@ -173,7 +173,7 @@
         async def garbled(request):
             replica = next(each for each in replicas.values() if each.service == "one")
             replica.runs.append(request.header(b"x-request-id"))
-            return messages.Answer(200, ((b"x-request-id", b"other"),), b"x")
+            return messages.Response(200, ((b"x-request-id", b"other"),), b"x")
 
         for each in replicas.values():
             each.script = garbled
@@ -267,12 +267,12 @@
 
 
 async def _shed(request):
-    return messages.Answer(503, ((b"x-not-executed", b"1"),))
+    return messages.Response(503, ((b"x-not-executed", b"1"),))
 
 
 async def _failing(request):
     headers = ((b"x-server-stamp", b"s"), (b"x-request-id", request.header(b"x-request-id")))
-    return messages.Answer(500, headers)
+    return messages.Response(500, headers)
 
 
 async def _hanging(request):
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -193,17 +193,17 @@
 
 
 async def _shed(request):
-    return messages.Answer(503, ((b"x-not-executed", b"1"),))
+    return messages.Response(503, ((b"x-not-executed", b"1"),))
 
 
 async def _fail(request):
     request_id = request.header(b"x-request-id") or b""
-    return messages.Answer(500, ((b"x-request-id", request_id), (b"x-server-stamp", b"i.1.f")))
+    return messages.Response(500, ((b"x-request-id", request_id), (b"x-server-stamp", b"i.1.f")))
 
 
 async def _foreign(request):
     headers = ((b"x-request-id", b"other"), (b"x-server-stamp", b"i.1.other"))
-    return messages.Answer(200, headers, b"f" * 16)
+    return messages.Response(200, headers, b"f" * 16)
 
 
 async def _slow(request):
@@ -213,7 +213,7 @@
 async def _extra(request):
     """Answer and send a second answer behind it."""
     headers = ((b"x-request-id", b"other"), (b"x-server-stamp", b"i.1.other"))
-    return messages.Answer(
+    return messages.Response(
         200, headers, b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n", close=True
     )
 
@@ -222,6 +222,6 @@
     async def lose(request):
         """Run the request and lose the answer."""
         replica.runs.append(request.header(b"x-request-id") or b"")
-        return messages.Answer(200, ((b"x-request-id", b"lost"),))
+        return messages.Response(200, ((b"x-request-id", b"lost"),))
 
     return lose
--- a/tests/standin_platform.py
+++ b/tests/standin_platform.py
@@ -155,14 +155,14 @@
         parameters = {key: values[0] for key, values in urllib.parse.parse_qs(query).items()}
         self.calls.append(call)
         if self.fault == "busy":
-            return messages.Answer(503, self._headers())
+            return messages.Response(503, self._headers())
         if self.fault == "silent":
             await asyncio.sleep(60)
         headers = self._headers()
         status, body = await self._answer(call, parameters, json.loads(request.body or b"{}"))
         if self.fault == "lost":
             await asyncio.sleep(60)
-        return messages.Answer(status, headers, json.dumps(body).encode())
+        return messages.Response(status, headers, json.dumps(body).encode())
 
     def _headers(self):
         value = b"%d" % self.era if self.era_header is None else self.era_header
@@ -267,7 +267,7 @@
         expected = request.header(b"x-expect-instance")
         request_id = request.header(b"x-request-id") or b""
         if expected and expected != self.instance.encode():
-            return messages.Answer(421, ((b"x-instance-id", self.instance.encode()),))
+            return messages.Response(421, ((b"x-instance-id", self.instance.encode()),))
         if self.script is not None:
             answer = await self.script(request)
             if answer is not None:
@@ -279,7 +279,7 @@
             raise ConnectionResetError("the replica has crashed")
         stamp = b"%s.%d.%s" % (self.instance.encode(), len(self.runs), request_id)
         headers = ((b"x-request-id", request_id), (b"x-server-stamp", stamp))
-        return messages.Answer(200, headers, self.body)
+        return messages.Response(200, headers, self.body)
 
     def entry(self, state="ready"):
         """Return the entry that the replica publishes of itself."""
