--- a/src/turmericlug/http1/client.py
+++ b/src/turmericlug/http1/client.py
@@ -1,9 +1,9 @@
 """
 HTTP/1.1 client connection to a target or the store.
 
-aiohttp's client silently retries idempotent requests on a stale connection and silently discards
-bytes after a complete response. Both hide whether a request may have run, so this module uses
-httptools, a C parser, directly.
+aiohttp's client silently retries idempotent requests on a stale connection and discards bytes after
+a complete response. Both hide whether a request may have run, so this module uses httptools, a C
+parser, directly.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 import httptools
 
 CONNECT_TIMEOUT_S = 0.4
-"""16 round trips of 25 ms between regions; the kernel resends a lost SYN only after 1 s."""
+"""16 round trips of 25 ms between regions; Linux resends a lost SYN only after 1 s."""
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 """Bounds the memory per response; the largest measured bodies are some tens of kilobytes."""
 USER_TIMEOUT_MS = 3000
-"""Limit on unacknowledged data; a partition otherwise blocks a connection for minutes."""
+"""Age limit of unacknowledged data; a partition otherwise blocks a connection for minutes."""
 _TCP_INFO = struct.Struct("8B24I")
 _TCP_INFO_RTT_INDEX = 8 + 15
-"""Field index of the smoothed round-trip time (µs) in the kernel's ``tcp_info``."""
+"""Field index of the smoothed round-trip time (µs) in Linux's ``tcp_info``."""
 _HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -70,8 +70,8 @@
 
     def header(self, name: bytes) -> bytes | None:
         """Return the first value of a header, by its lower-case name."""
-        for key, value in self.headers:
-            if key == name:
+        for header_name, value in self.headers:
+            if header_name == name:
                 return value
         return None
 
@@ -124,17 +124,17 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            # Garbage after a complete response: deliver the response, don't reuse the connection.
+            # Garbage after a complete response: deliver it, but don't reuse the connection.
             if self._complete is None:
                 self._fail(ExchangeError(f"unreadable response: {error}"))
                 return
-            self._discard_surplus()
+            self._prevent_reuse()
         self._deliver()
 
     def eof_received(self) -> bool:
-        """Complete a response without a length, which ends when the server closes."""
+        """Complete a response that has no length and ends when the server closes."""
         self.closed = True
-        if self._pending is not None and self._partial.head_done and self._ends_with_connection():
+        if self._pending is not None and self._partial.head_done and self._is_close_delimited():
             self._finish(reusable=False)
             self._deliver()
         return False
@@ -173,7 +173,7 @@
     def on_message_begin(self) -> None:
         """Parser callback: a response begins; a second one makes the connection unusable."""
         if self._complete is not None:
-            self._discard_surplus()
+            self._prevent_reuse()
             return
         self._partial = _PartialResponse([], [])
 
@@ -190,21 +190,21 @@
         unsent = self._transport.get_write_buffer_size() if self._transport else 0
         self._finish(reusable=self._parser.should_keep_alive() and not unsent)
 
-    def _ends_with_connection(self) -> bool:
+    def _is_close_delimited(self) -> bool:
         names = {name for name, _ in self._partial.headers}
         return b"content-length" not in names and b"transfer-encoding" not in names
 
     def _finish(self, reusable: bool) -> None:
-        part = self._partial
+        partial = self._partial
         self._complete = Response(
             self._parser.get_status_code(),
-            part.reason,
-            tuple(part.headers),
-            b"".join(part.body),
+            partial.reason,
+            tuple(partial.headers),
+            b"".join(partial.body),
             reusable,
         )
 
-    def _discard_surplus(self) -> None:
+    def _prevent_reuse(self) -> None:
         if self._complete is not None:
             self._complete = attrs.evolve(self._complete, reusable=False)
         self.closed = True
@@ -214,19 +214,19 @@
     def _deliver(self) -> None:
         if self._complete is None or self._pending is None:
             return
-        response, waiting = self._complete, self._pending
+        response, pending = self._complete, self._pending
         self._complete = self._pending = None
         self._parser = httptools.HttpResponseParser(self)
         self.keep_alive_timeout_s = _keep_alive_timeout_s(response.header(b"keep-alive"))
         if not response.reusable:
             self.close()
-        if not waiting.done():
-            waiting.set_result(response)
+        if not pending.done():
+            pending.set_result(response)
 
     def _fail(self, error: ExchangeError) -> None:
-        waiting, self._pending = self._pending, None
-        if waiting is not None and not waiting.done():
-            waiting.set_exception(error)
+        pending, self._pending = self._pending, None
+        if pending is not None and not pending.done():
+            pending.set_exception(error)
         self.close()
 
     async def exchange(
@@ -267,8 +267,8 @@
 
 def _keep_alive_timeout_s(value: bytes | None) -> float | None:
     for item in (value or b"").split(b","):
-        key, _, number = item.strip().partition(b"=")
-        if key.lower() == b"timeout" and number.isdigit():
+        parameter, _, number = item.strip().partition(b"=")
+        if parameter.lower() == b"timeout" and number.isdigit():
             return float(number)
     return None
 
@@ -305,24 +305,24 @@
     """
     Disable Nagle's algorithm and limit the time without acknowledgements.
 
-    A peer that lost power or is behind a partition acknowledges nothing; without the limit the
-    connection blocks for as long as the kernel retransmits.
+    A peer that lost power or is behind a partition acknowledges nothing; without the limit, the
+    connection blocks for as long as the operating system retransmits.
     """
-    raw = transport.get_extra_info("socket")
-    if raw is None:
+    sock = transport.get_extra_info("socket")
+    if sock is None:
         return
     with contextlib.suppress(OSError):
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
 
 def round_trip_s(transport: asyncio.BaseTransport) -> float:
-    """Return the kernel's estimate of the round-trip time; 0 if there is none."""
-    raw = transport.get_extra_info("socket")
-    if raw is None:
+    """Return the operating system's estimate of the round-trip time; 0 if there is none."""
+    sock = transport.get_extra_info("socket")
+    if sock is None:
         return 0.0
     try:
-        info = raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO.size)
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO.size)
         return _TCP_INFO.unpack(info)[_TCP_INFO_RTT_INDEX] / 1e6
     except (OSError, struct.error):
         return 0.0
@@ -337,11 +337,11 @@
 def end_to_end(headers: abc.Iterable[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
     """Return the headers without hop-by-hop headers and the message framing."""
     headers = list(headers)
-    named = set(_HOP_HEADERS)
+    hop_by_hop = set(_HOP_HEADERS)
     for name, value in headers:
         if name == b"connection":
-            named.update(token.strip().lower() for token in value.split(b","))
-    return [(name, value) for name, value in headers if name not in named]
+            hop_by_hop.update(token.strip().lower() for token in value.split(b","))
+    return [(name, value) for name, value in headers if name not in hop_by_hop]
 
 
 def request_bytes(
--- a/src/turmericlug/http1/messages.py
+++ b/src/turmericlug/http1/messages.py
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Request:
-    """A completely received request."""
+    """A complete request as received."""
 
     method: bytes
     target: bytes
@@ -30,7 +30,7 @@
     arrived_s: float
     """Time of its first byte, on the event loop's clock."""
     began_s: float = 0.0
-    """Estimated time at which the caller started, including connection setup."""
+    """Estimated time of the caller's first packet, including connection setup."""
     response_latency_s: float = 0.0
     """Estimated one-way latency of the response to the caller."""
     stalled_s: float = 0.0
@@ -40,8 +40,8 @@
 
     def header(self, name: bytes) -> bytes | None:
         """Return the first value of a header, by its lower-case name."""
-        for key, value in self.headers:
-            if key == name:
+        for header_name, value in self.headers:
+            if header_name == name:
                 return value
         return None
 
--- a/src/turmericlug/http1/server.py
+++ b/src/turmericlug/http1/server.py
@@ -1,9 +1,9 @@
 """
 HTTP/1.1 server for callers.
 
-Uses the C parser directly, for exact control of the configured size and time limits on the request
-head, of the response to a request that crosses a connection close, and of the detection of a
-caller's disconnect.
+Uses the C parser directly, for exact control over the size and time limits on the request head,
+over the response to a request that arrives while the connection is being closed, and over the
+detection of a caller's disconnect.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 """A rejected caller that is still sending needs about a round trip to read the response; closing
 with unread bytes resets the connection and discards the response."""
 BACKLOG = 1024
-"""Size of the accept queue: when it is full, a caller's connect takes a second longer."""
+"""Size of the accept queue; when it is full, connecting takes a caller a second longer."""
 _STATUSES_WITHOUT_BODY = (204, 304)
 _IDLE_SLACK_S = 1.0
-_IDLE_MEMORY_S = 30.0
+_IDLE_LIMIT_HISTORY_S = 30.0
 
 
 class Server:
@@ -55,23 +55,22 @@
         self.max_connections = max_connections
         self.connections: set[_Connection] = set()
         self.draining = False
-        self._longest_idle: collections.deque[tuple[float, float]] = collections.deque()
+        self._recent_idle_limits: collections.deque[tuple[float, float]] = collections.deque()
 
     def idle_timeout_s(self, now_s: float) -> float:
         """
         Return the idle timeout of a connection.
 
-        Callers don't know a shorter limit of a new configuration at once. If a connection closes by
-        the new limit while the caller still relies on the old one, a request that crosses the close
-        is lost. Therefore the longest limit of the last 30 s applies.
+        The longest limit of the last 30 s applies, since callers don't learn of a shorter one at
+        once: a request sent while the server closes the connection by the new limit would be lost.
         """
         limit_s = self.limits().idle_timeout_s
-        seen = self._longest_idle
-        if not seen or seen[-1][1] != limit_s:
-            seen.append((now_s, limit_s))
-        while len(seen) > 1 and seen[1][0] < now_s - _IDLE_MEMORY_S:
-            seen.popleft()
-        return max(each for _, each in seen) + _IDLE_SLACK_S
+        recent = self._recent_idle_limits
+        if not recent or recent[-1][1] != limit_s:
+            recent.append((now_s, limit_s))
+        while len(recent) > 1 and recent[1][0] < now_s - _IDLE_LIMIT_HISTORY_S:
+            recent.popleft()
+        return max(idle_s for _, idle_s in recent) + _IDLE_SLACK_S
 
     def drain(self) -> None:
         """Start draining: every response from now on has ``connection: close``."""
@@ -92,23 +91,23 @@
         self._transport: asyncio.Transport = None  # type: ignore[assignment]
         self._parser = httptools.HttpRequestParser(self)
         self._queue: collections.deque[messages.Request] = collections.deque()
-        self._work: asyncio.Task[None] | None = None
+        self._serve_task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._refused = False
-        self._is_last = False
+        self._rejected = False
+        self._must_close = False
         self._requests = 0
         self._begin_message()
 
     @property
     def busy(self) -> bool:
         """Whether a request was read and has no response yet."""
-        return self._work is not None or bool(self._queue)
+        return self._serve_task is not None or bool(self._queue)
 
     def _begin_message(self) -> None:
         self._headers: list[tuple[bytes, bytes]] = []
         self._target = b""
         self._body: list[bytes] = []
-        self._head_size = 0
+        self._received_size = 0
         self._body_size = 0
         self._arrived_s: float | None = None
         self._head_done = False
@@ -120,7 +119,7 @@
         self._server.connections.add(self)
         if len(self._server.connections) > self._server.max_connections:
             decisions.log("caller.refused", reason="connections")
-            self._refuse(503, "too many connections")
+            self._reject(503, "too many connections")
             return
         self._start_idle_timer()
 
@@ -129,42 +128,42 @@
         self._server.connections.discard(self)
         self._stop_timer()
         self._queue.clear()
-        if self._work is not None:
-            self._work.cancel()
+        if self._serve_task is not None:
+            self._serve_task.cancel()
 
     def eof_received(self) -> bool:
-        """Treat end of input as a disconnect: a half close looks the same."""
+        """Treat end of input as a disconnect, since a half close can't be told from one."""
         return False
 
     def data_received(self, data: bytes) -> None:
         """Parse received bytes; discard everything after a rejected or last request."""
-        if self._refused or self._is_last:
+        if self._rejected or self._must_close:
             return
         if self._arrived_s is None:
             self._arrived_s = self._loop.time()
-            if self._work is None:
+            if self._serve_task is None:
                 self._start_head_timer()
         if not self._head_done:
-            self._head_size += len(data)
-            if self._head_size > self._server.limits().header_bytes + (
+            self._received_size += len(data)
+            if self._received_size > self._server.limits().header_bytes + (
                 self._server.limits().body_bytes
             ):
-                self._refuse(431, "head too large")
+                self._reject(431, "head too large")
                 return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._is_last = True
+            self._must_close = True
         except httptools.HttpParserError as error:
-            if not self._refused:
+            if not self._rejected:
                 decisions.log("caller.refused", reason="unreadable", detail=str(error)[:100])
-                self._refuse(400, "unreadable request")
+                self._reject(400, "unreadable request")
             return
         if not self._head_done and self._parsed_head_bytes() > self._server.limits().header_bytes:
-            self._refuse(431, "head too large")
+            self._reject(431, "head too large")
 
     def _parsed_head_bytes(self) -> int:
-        return len(self._target) + sum(len(key) + len(value) + 4 for key, value in self._headers)
+        return len(self._target) + sum(len(name) + len(value) + 4 for name, value in self._headers)
 
     def on_url(self, url: bytes) -> None:
         """Parser callback: a piece of the request's target."""
@@ -177,55 +176,57 @@
     def on_headers_complete(self) -> None:
         """Parser callback: check the limits on the head before reading the body."""
         self._head_done = True
-        if self._refused:
+        if self._rejected:
             return
         if self._parsed_head_bytes() > self._server.limits().header_bytes:
-            self._refuse(431, "head too large")
+            self._reject(431, "head too large")
             return
-        length = next((value for key, value in self._headers if key == b"content-length"), b"0")
-        if length.isdigit() and int(length) > self._server.limits().body_bytes:
-            self._refuse(413, "body too large")
+        content_length = next(
+            (value for name, value in self._headers if name == b"content-length"), b"0"
+        )
+        if content_length.isdigit() and int(content_length) > self._server.limits().body_bytes:
+            self._reject(413, "body too large")
             return
-        if any(key == b"expect" for key, _ in self._headers):
+        if any(name == b"expect" for name, _ in self._headers):
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
         """Parser callback: a piece of the body."""
         self._body_size += len(body)
         if self._body_size > self._server.limits().body_bytes:
-            if not self._refused:
-                self._refuse(413, "body too large")
+            if not self._rejected:
+                self._reject(413, "body too large")
             return
         self._body.append(body)
 
     def on_message_complete(self) -> None:
         """Parser callback: a request is complete."""
-        if self._refused:
+        if self._rejected:
             return
         request = self._build_request()
         if not self._parser.should_keep_alive():
-            self._is_last = True
+            self._must_close = True
         if self._server.interim:
             self._transport.write(self._server.interim)
         self._begin_message()
         self._queue.append(request)
-        if self._work is None:
+        if self._serve_task is None:
             self._stop_timer()
-            self._work = self._loop.create_task(self._serve())
+            self._serve_task = self._loop.create_task(self._serve())
         else:
-            # Backpressure: pipelined requests must not fill the memory.
+            # Backpressure: bounds the memory for pipelined requests.
             self._transport.pause_reading()
 
     def _build_request(self) -> messages.Request:
         """
         Build the request that was read.
 
-        A caller's latency goal counts from its first packet: on a new connection 1.5 round trips
-        before the request arrives, otherwise half a round trip.
+        A caller's latency goal counts from its first packet, which is sent 1.5 round trips before
+        the request arrives on a new connection, and half a round trip before on a reused one.
         """
         arrived_s = self._arrived_s or self._loop.time()
         round_trip_s = client_module.round_trip_s(self._transport)
-        trips = 0.5 if self._requests else 1.5
+        round_trips = 0.5 if self._requests else 1.5
         self._requests += 1
         return messages.Request(
             self._parser.get_method(),
@@ -233,7 +234,7 @@
             tuple(self._headers),
             b"".join(self._body),
             arrived_s,
-            arrived_s - trips * round_trip_s,
+            arrived_s - round_trips * round_trip_s,
             round_trip_s / 2,
             self._server.stalled_s(),
             client_module.peer_host(self._transport),
@@ -243,14 +244,18 @@
         try:
             while self._queue and not self._transport.is_closing():
                 request = self._queue.popleft()
-                answer = await self._call_handler(request)
-                close = answer.close or self._server.draining or (self._is_last and not self._queue)
-                await self._write(request, answer, close)
+                response = await self._call_handler(request)
+                close = (
+                    response.close
+                    or self._server.draining
+                    or (self._must_close and not self._queue)
+                )
+                await self._write(request, response, close)
                 if close:
                     self._linger()
                     return
         finally:
-            self._work = None
+            self._serve_task = None
         if not self._transport.is_closing():
             self._transport.resume_reading()
             if self._arrived_s is None:
@@ -268,38 +273,38 @@
             return messages.Response(500, close=True)
 
     async def _write(
-        self, request: messages.Request, answer: messages.Response, close: bool
+        self, request: messages.Request, response: messages.Response, close: bool
     ) -> None:
         idle_s = int(self._server.limits().idle_timeout_s)
-        self._transport.write(_answer_bytes(request.method, answer, close, idle_s))
-        if answer.chunks is None:
+        self._transport.write(_response_bytes(request.method, response, close, idle_s))
+        if response.chunks is None:
             return
-        async for chunk in answer.chunks:
+        async for chunk in response.chunks:
             self._transport.write(b"%x\r\n%s\r\n" % (len(chunk), chunk))
         self._transport.write(b"0\r\n\r\n")
 
-    def _refuse(self, status: int, reason: str) -> None:
+    def _reject(self, status: int, reason: str) -> None:
         """Send an error response, and close after the caller had time to read it."""
-        self._refused = True
+        self._rejected = True
         self._stop_timer()
-        if self._work is not None:
+        if self._serve_task is not None:
             # Earlier requests on this connection get their responses first, in order.
-            self._is_last = True
-            self._work.add_done_callback(lambda _: self._refuse_now(status, reason))
+            self._must_close = True
+            self._serve_task.add_done_callback(lambda _: self._write_rejection(status, reason))
             return
-        self._refuse_now(status, reason)
+        self._write_rejection(status, reason)
 
-    def _refuse_now(self, status: int, reason: str) -> None:
+    def _write_rejection(self, status: int, reason: str) -> None:
         if self._transport.is_closing():
             return
-        extra = ((b"retry-after", b"0.5"),) if status == 503 else ()
-        answer = messages.Response(status, extra, reason.encode())
-        self._transport.write(_answer_bytes(b"GET", answer, True, 0))
+        headers = ((b"retry-after", b"0.5"),) if status == 503 else ()
+        response = messages.Response(status, headers, reason.encode())
+        self._transport.write(_response_bytes(b"GET", response, True, 0))
         self._linger()
 
     def _linger(self) -> None:
         """Close the sending side and discard input, so that no reset discards the response."""
-        self._is_last = True
+        self._must_close = True
         self._stop_timer()
         if self._transport.can_write_eof():
             self._transport.write_eof()
@@ -322,13 +327,12 @@
 
     def _on_head_timeout(self) -> None:
         if self._head_done:
-            # The body gets a timeout of its own, so that a slow caller is served and a stalled
-            # one does not hold a connection forever.
+            # The body has a timeout of its own: a slow caller is served, a stalled one rejected.
             self._timer = self._loop.call_later(
-                self._server.limits().idle_timeout_s, lambda: self._refuse(408, "body too slow")
+                self._server.limits().idle_timeout_s, lambda: self._reject(408, "body too slow")
             )
             return
-        self._refuse(408, "head too slow")
+        self._reject(408, "head too slow")
 
     def _stop_timer(self) -> None:
         if self._timer is not None:
@@ -341,36 +345,42 @@
         self._transport.close()
 
 
-def _answer_bytes(method: bytes, answer: messages.Response, close: bool, idle_s: int) -> bytes:
+def _response_bytes(method: bytes, response: messages.Response, close: bool, idle_s: int) -> bytes:
     try:
-        phrase = http.HTTPStatus(answer.status).phrase.encode()
+        phrase = http.HTTPStatus(response.status).phrase.encode()
     except ValueError:
         phrase = b"Unknown"
-    lines = [b"HTTP/1.1 %d %s\r\n" % (answer.status, phrase)]
-    lines += [name + b": " + value + b"\r\n" for name, value in answer.headers]
-    if answer.chunks is not None:
+    lines = [b"HTTP/1.1 %d %s\r\n" % (response.status, phrase)]
+    lines += [name + b": " + value + b"\r\n" for name, value in response.headers]
+    if response.chunks is not None:
         lines.append(b"transfer-encoding: chunked\r\n")
-    elif answer.status not in _STATUSES_WITHOUT_BODY:
-        lines.append(b"content-length: %d\r\n" % len(answer.body))
+    elif response.status not in _STATUSES_WITHOUT_BODY:
+        lines.append(b"content-length: %d\r\n" % len(response.body))
     if close:
         lines.append(b"connection: close\r\n")
     elif idle_s:
         lines.append(b"keep-alive: timeout=%d\r\n" % idle_s)
     lines.append(b"\r\n")
-    if method != b"HEAD" and answer.status not in _STATUSES_WITHOUT_BODY and answer.chunks is None:
-        lines.append(answer.body)
+    if (
+        method != b"HEAD"
+        and response.status not in _STATUSES_WITHOUT_BODY
+        and response.chunks is None
+    ):
+        lines.append(response.body)
     return b"".join(lines)
 
 
 async def listen(
-    server: Server, host: str, port: int, early: socket.socket | None = None
+    server: Server, host: str, port: int, listening_socket: socket.socket | None = None
 ) -> asyncio.Server:
     """
     Accept connections; the server is ready when this returns.
 
-    :param early: a socket that already listens at the address
+    :param listening_socket: a socket that already listens at the address
     """
     loop = asyncio.get_running_loop()
-    if early is not None:
-        return await loop.create_server(lambda: _Connection(server), sock=early, backlog=BACKLOG)
+    if listening_socket is not None:
+        return await loop.create_server(
+            lambda: _Connection(server), sock=listening_socket, backlog=BACKLOG
+        )
     return await loop.create_server(lambda: _Connection(server), host, port, backlog=BACKLOG)
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -12,13 +12,13 @@
 from turmericlug.http1 import client
 
 REQUEST = client.request_bytes(b"GET", b"/a/1", [(b"host", b"h")], b"")
-WHOLE = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nbody"
+COMPLETE = b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nbody"
 UNFRAMED = b"HTTP/1.1 200 OK\r\n\r\nbody"
 CHUNKED = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"
 
 
 @contextlib.asynccontextmanager
-async def scripted(script):
+async def scripted_server(script):
     """Serve each connection with the coroutine function ``script(reader, writer)``."""
 
     async def serve(reader, writer):
@@ -33,12 +33,12 @@
         server.close()
 
 
-def answering(answer, then="wait"):
-    """Answer the first request with ``answer``, then close, reset or keep the connection."""
+def respond_once(response_bytes, then="wait"):
+    """Send ``response_bytes`` to the first request, then close, reset or keep the connection."""
 
     async def script(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(answer)
+        writer.write(response_bytes)
         await writer.drain()
         if then == "reset":
             linger = struct.pack("ii", 1, 0)
@@ -52,20 +52,20 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "then", "reusable"),
+    ("response_bytes", "then", "reusable"),
     [
-        (WHOLE, "wait", True),
+        (COMPLETE, "wait", True),
         (CHUNKED, "wait", True),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE, "wait", True),
-        (WHOLE.replace(b"\r\n\r\n", b"\r\nconnection: close\r\n\r\n"), "wait", False),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + COMPLETE, "wait", True),
+        (COMPLETE.replace(b"\r\n\r\n", b"\r\nconnection: close\r\n\r\n"), "wait", False),
         (UNFRAMED, "close", False),
-        (WHOLE + b"surplus", "wait", False),
-        (WHOLE + WHOLE, "wait", False),
-        (WHOLE + WHOLE[:20], "wait", False),
+        (COMPLETE + b"surplus", "wait", False),
+        (COMPLETE + COMPLETE, "wait", False),
+        (COMPLETE + COMPLETE[:20], "wait", False),
     ],
     ids=["length", "chunked", "1xx", "closing", "unframed", "surplus", "doubled", "half-doubled"],
 )
-def test_complete_responses(answer, then, reusable):
+def test_complete_responses(response_bytes, then, reusable):
     """
     A replica sends a second response to one request, or garbage after the response.
     The first response is complete and valid, but the next request on that connection would get the
@@ -73,7 +73,7 @@
     """
 
     async def main():
-        async with scripted(answering(answer, then)) as address:
+        async with scripted_server(respond_once(response_bytes, then)) as address:
             connection = await client.connect(*address)
             response = await connection.exchange(REQUEST)
             assert (response.status, response.body) == (200, b"body")
@@ -84,27 +84,27 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "then"),
+    ("response_bytes", "then"),
     [
-        (WHOLE[:-1], "close"),
-        (WHOLE[:-1], "reset"),
+        (COMPLETE[:-1], "close"),
+        (COMPLETE[:-1], "reset"),
         (CHUNKED[:-5], "close"),
         (UNFRAMED, "reset"),
         (b"no answer at all\r\n\r\n", "wait"),
         (b"", "close"),
-        (WHOLE[:30], "close"),
+        (COMPLETE[:30], "close"),
     ],
     ids=["short", "short-reset", "chunks", "unframed-reset", "garbage", "nothing", "head"],
 )
-def test_incomplete_responses(answer, then):
+def test_incomplete_responses(response_bytes, then):
     """
     A replica truncates its response; accepted as complete, it would give the caller wrong records.
-    A response is valid only if its framing shows that it is complete; one without framing only if
-    the connection was closed in order, not reset.
+    A response is complete only if its framing shows it, or, without framing, if the connection was
+    closed and not reset.
     """
 
     async def main():
-        async with scripted(answering(answer, then)) as address:
+        async with scripted_server(respond_once(response_bytes, then)) as address:
             connection = await client.connect(*address)
             with pytest.raises(client.ExchangeError):
                 await connection.exchange(REQUEST)
@@ -118,21 +118,21 @@
     A second response arrives after the first was delivered, while the connection is idle.
     The next request would get those bytes as its response before the replica has received it.
     """
-    unasked = []
+    unexpected = []
 
     async def main():
         sent = asyncio.Event()
 
         async def script(reader, writer):
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(WHOLE)
+            writer.write(COMPLETE)
             await sent.wait()
-            writer.write(WHOLE)
+            writer.write(COMPLETE)
             await reader.read()
 
-        async with scripted(script) as address:
+        async with scripted_server(script) as address:
             connection = await client.connect(
-                *address, on_unexpected_bytes=lambda: unasked.append(1)
+                *address, on_unexpected_bytes=lambda: unexpected.append(1)
             )
             await connection.exchange(REQUEST)
             assert not connection.closed
@@ -142,7 +142,7 @@
                     await asyncio.sleep(0.005)
 
     asyncio.run(main())
-    assert unasked == [1]
+    assert unexpected == [1]
 
 
 def test_an_early_response_to_a_long_body_prevents_reuse():
@@ -158,7 +158,7 @@
             await writer.drain()
             await asyncio.sleep(5)
 
-        async with scripted(script) as address:
+        async with scripted_server(script) as address:
             connection = await client.connect(*address)
             body = b"x" * (32 * 1024 * 1024)
             response = await connection.exchange(client.request_bytes(b"POST", b"/", [], body))
@@ -180,7 +180,7 @@
             await reader.readuntil(b"\r\n\r\n")
             closed.append(await reader.read() == b"")
 
-        async with scripted(script) as address:
+        async with scripted_server(script) as address:
             connection = await client.connect(*address)
             task = asyncio.create_task(connection.exchange(REQUEST))
             await asyncio.sleep(0.02)
@@ -197,9 +197,9 @@
 
 def test_a_port_without_listener_is_a_connect_error():
     async def main():
-        with socket.socket() as probe:
-            probe.bind(("127.0.0.1", 0))
-            port = probe.getsockname()[1]
+        with socket.socket() as sock:
+            sock.bind(("127.0.0.1", 0))
+            port = sock.getsockname()[1]
         with pytest.raises(client.ConnectError):
             await client.connect("127.0.0.1", port)
 
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -10,15 +10,15 @@
 from turmericlug.http1 import messages
 from turmericlug.http1 import server
 
-GOOD = b"GET /a/1 HTTP/1.1\r\nhost: h\r\n\r\n"
+REQUEST = b"GET /a/1 HTTP/1.1\r\nhost: h\r\n\r\n"
 LIMITS = messages.Limits(
     header_bytes=2000, body_bytes=5000, header_timeout_s=0.1, idle_timeout_s=30.0
 )
 
 
 @contextlib.asynccontextmanager
-async def serving(handler, limits=LIMITS, most=100):
-    http_server = server.Server(handler, lambda: limits, most)
+async def serving(handler, limits=LIMITS, max_connections=100):
+    http_server = server.Server(handler, lambda: limits, max_connections)
     listener = await server.listen(http_server, "127.0.0.1", 0)
     try:
         yield http_server, listener.sockets[0].getsockname()
@@ -32,7 +32,7 @@
     return messages.Response(200, body=body)
 
 
-async def talk(address, *pieces):
+async def send_and_receive(address, *pieces):
     """Send ``pieces`` and return everything received until the connection closes."""
     reader, writer = await asyncio.open_connection(*address)
     try:
@@ -46,17 +46,20 @@
         writer.close()
 
 
-CLOSING = GOOD.replace(b"\r\n\r\n", b"\r\nconnection: close\r\n\r\n")
+CLOSING_REQUEST = REQUEST.replace(b"\r\n\r\n", b"\r\nconnection: close\r\n\r\n")
 
 
 @pytest.mark.parametrize(
     ("pieces", "statuses"),
     [
-        ([CLOSING], [b"200"]),
-        ([GOOD, CLOSING], [b"200", b"200"]),
-        ([GOOD + CLOSING], [b"200", b"200"]),
-        ([CLOSING[:9], CLOSING[9:]], [b"200"]),
-        ([b"POST /a HTTP/1.1\r\nhost: h\r\ncontent-length: 2\r\n\r\nab" + CLOSING], [b"200"] * 2),
+        ([CLOSING_REQUEST], [b"200"]),
+        ([REQUEST, CLOSING_REQUEST], [b"200", b"200"]),
+        ([REQUEST + CLOSING_REQUEST], [b"200", b"200"]),
+        ([CLOSING_REQUEST[:9], CLOSING_REQUEST[9:]], [b"200"]),
+        (
+            [b"POST /a HTTP/1.1\r\nhost: h\r\ncontent-length: 2\r\n\r\nab" + CLOSING_REQUEST],
+            [b"200"] * 2,
+        ),
         ([b"nonsense\r\n\r\n"], [b"400"]),
         ([b"GET /a HTTP/1.1\r\nhost: h\r\nx y: 1\r\n\r\n"], [b"400"]),
         ([b"GET /a HTTP/1.1\r\nhost: h\r\nx: " + b"v" * 3000 + b"\r\n\r\n"], [b"431"]),
@@ -90,11 +93,11 @@
 def test_input_gets_the_expected_status(pieces, statuses):
     async def main():
         async with serving(echo) as (_, address):
-            answer = await talk(address, *pieces)
-            found = [part.split(b" ")[0] for part in answer.split(b"HTTP/1.1 ")[1:]]
-            assert found == statuses
+            received = await send_and_receive(address, *pieces)
+            received_statuses = [part.split(b" ")[0] for part in received.split(b"HTTP/1.1 ")[1:]]
+            assert received_statuses == statuses
             # The server still accepts requests.
-            assert (await talk(address, CLOSING)).startswith(b"HTTP/1.1 200")
+            assert (await send_and_receive(address, CLOSING_REQUEST)).startswith(b"HTTP/1.1 200")
 
     asyncio.run(main())
 
@@ -117,7 +120,7 @@
 
         async with serving(slow) as (_, address):
             _, writer = await asyncio.open_connection(*address)
-            writer.write(GOOD)
+            writer.write(REQUEST)
             while not events:
                 await asyncio.sleep(0.005)
             writer.close()
@@ -133,10 +136,10 @@
     async def main():
         async with serving(echo) as (http_server, address):
             reader, writer = await asyncio.open_connection(*address)
-            writer.write(GOOD)
+            writer.write(REQUEST)
             assert b"keep-alive" in await reader.readuntil(b"GET /a/1 ")
             http_server.drain()
-            writer.write(GOOD)
+            writer.write(REQUEST)
             assert b"connection: close" in await reader.read()
             writer.close()
 
@@ -149,17 +152,17 @@
             raise KeyError("bug")
 
         async with serving(broken) as (_, address):
-            assert (await talk(address, GOOD)).startswith(b"HTTP/1.1 500")
+            assert (await send_and_receive(address, REQUEST)).startswith(b"HTTP/1.1 500")
 
     asyncio.run(main())
 
 
 def test_too_many_connections_give_status_503():
     async def main():
-        async with serving(echo, most=1) as (_, address):
+        async with serving(echo, max_connections=1) as (_, address):
             _, writer = await asyncio.open_connection(*address)
             await asyncio.sleep(0.02)
-            assert (await talk(address)).startswith(b"HTTP/1.1 503")
+            assert (await send_and_receive(address)).startswith(b"HTTP/1.1 503")
             writer.close()
 
     asyncio.run(main())
@@ -188,19 +191,19 @@
     Callers some milliseconds away open a connection for each request. A response timed from the
     request's arrival would miss their latency goal by the time that connection setup took.
     """
-    seen = []
+    requests = []
 
     async def main():
-        async def note(request):
-            seen.append(request)
+        async def record_request(request):
+            requests.append(request)
             return messages.Response(200)
 
-        async with serving(note) as (_, address):
-            await talk(address, GOOD, CLOSING)
+        async with serving(record_request) as (_, address):
+            await send_and_receive(address, REQUEST, CLOSING_REQUEST)
 
     asyncio.run(main())
-    first, second = (request.arrived_s - request.began_s for request in seen)
-    response_latency_s = seen[0].response_latency_s
+    first, second = (request.arrived_s - request.began_s for request in requests)
+    response_latency_s = requests[0].response_latency_s
     assert response_latency_s > 0
     assert first == pytest.approx(3 * response_latency_s)
-    assert second == pytest.approx(seen[1].response_latency_s)
+    assert second == pytest.approx(requests[1].response_latency_s)
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -126,14 +126,14 @@
     mutant.one(
         "drain-without-connection-close",
         "http1/server.py",
-        "close = answer.close or self._server.draining or",
-        "close = answer.close or",
+        "response.close\n                    or self._server.draining\n",
+        "response.close\n",
         "http1/test_server.py::test_a_draining_server_answers_with_connection_close",
     ),
     mutant.one(
         "ignore-a-disconnect",
         "http1/server.py",
-        "        if self._work is not None:\n            self._work.cancel()\n",
+        "        if self._serve_task is not None:\n            self._serve_task.cancel()\n",
         "",
         "http1/test_server.py::test_a_disconnect_cancels_the_request",
     ),
