--- a/src/turmericlug/membership/mesh.py
+++ b/src/turmericlug/membership/mesh.py
@@ -73,7 +73,7 @@
             self._counters.time_ms("instance.loop_lag_ms", lag_s * 1000)
             if lag_s > tick_s:
                 for link, _ in self._links.values():
-                    link.heard_at_s = time.monotonic()
+                    link.last_received_at_s = time.monotonic()
                 continue
             for instance, (link, _) in list(self._links.items()):
                 link.check_silence(self._silence_s)
--- a/src/turmericlug/wire/codec.py
+++ b/src/turmericlug/wire/codec.py
@@ -13,7 +13,7 @@
 PROTOCOL_VERSION = 1
 MAX_FRAME_BYTES = 8 << 20
 _LENGTH = struct.Struct("<I")
-# A frame is traversed once or twice; the limit, in words, rejects amplification attacks.
+# A reader traverses a frame once or twice; the limit rejects amplification attacks.
 _TRAVERSAL_LIMIT_WORDS = 4 * MAX_FRAME_BYTES // 8
 
 Envelope = typing.Any
@@ -24,17 +24,17 @@
 
 
 def envelope(request_id: int) -> Envelope:
-    """Create an empty envelope; the caller sets one member of its union."""
+    """Create an empty envelope, whose union the caller must set."""
     message = schema.Envelope.new_message()
     message.requestId = request_id
     return message
 
 
 def fill(message: Envelope, kind: str, **fields: typing.Any) -> None:
-    """Set the fields of the struct ``kind`` of the union; it must be initialised before that."""
-    member = message.init(kind)
+    """Initialise the struct ``kind`` of the union and set its fields."""
+    payload = message.init(kind)
     for name, value in fields.items():
-        setattr(member, name, value)
+        setattr(payload, name, value)
 
 
 def encode(message: Envelope) -> bytes:
@@ -55,7 +55,7 @@
             body, traversal_limit_in_words=_TRAVERSAL_LIMIT_WORDS
         ).__enter__()
         message.which()
-    except Exception as error:  # the library has a type of its own for each malformed input
+    except Exception as error:  # pycapnp raises a different type for each kind of malformed input
         raise FrameError(str(error).splitlines()[0]) from error
     return message
 
--- a/src/turmericlug/wire/handshake.py
+++ b/src/turmericlug/wire/handshake.py
@@ -54,17 +54,17 @@
         reason = "wrong_protocol"
     elif not hmac.compare_digest(hello.proof, _proof(key, nonce, hello.instance, instance)):
         reason = "wrong_key"
-    answer = codec.envelope(0)
+    reply = codec.envelope(0)
     if reason:
-        answer.rejected = reason
-        writer.write(codec.encode(answer))
+        reply.rejected = reason
+        writer.write(codec.encode(reply))
         raise HandshakeError(reason)
-    answer.welcome = instance
-    writer.write(codec.encode(answer))
+    reply.welcome = instance
+    writer.write(codec.encode(reply))
     return hello.instance
 
 
-async def introduce(
+async def initiate(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, key: str, instance: str
 ) -> str:
     """
@@ -86,16 +86,16 @@
         instance=instance,
     )
     writer.write(codec.encode(hello))
-    answer = await _read_frame(reader)
-    if answer.which() == "rejected":
-        raise HandshakeError(answer.rejected)
-    if answer.which() != "welcome":
+    reply = await _read_frame(reader)
+    if reply.which() == "rejected":
+        raise HandshakeError(reply.rejected)
+    if reply.which() != "welcome":
         raise HandshakeError("malformed")
-    return answer.welcome
+    return reply.welcome
 
 
 async def _read_frame(reader: asyncio.StreamReader) -> codec.Envelope:
-    """Read exactly one frame; the peer sends nothing more before the next answer."""
+    """Read exactly one frame; the peer sends nothing more before it gets an answer."""
     try:
         async with asyncio.timeout(TIMEOUT_S):
             length = int.from_bytes(await reader.readexactly(4), "little")
--- a/src/turmericlug/wire/link.py
+++ b/src/turmericlug/wire/link.py
@@ -61,16 +61,16 @@
         self._source = (source_host, 0) if source_host else None
         self.peer = ""
         self.silent = False
-        self.heard_at_s = 0.0
+        self.last_received_at_s = 0.0
         self._key = key
         self._instance = instance
         self._counters = counters
         self._outbox: outbox.Outbox | None = None
         self._open_requests: dict[int, tuple[OnReply, float]] = {}
         self._request_id = 0
-        self._up = asyncio.Event()
-        self._pinged_at_s = 0.0
-        self._used_at_s = time.monotonic()
+        self._connected = asyncio.Event()
+        self._last_ping_at_s = 0.0
+        self._last_request_at_s = time.monotonic()
 
     @property
     def is_connected(self) -> bool:
@@ -79,7 +79,7 @@
 
     def idle_s(self) -> float:
         """Return the time since the last request; 0 while a request is open."""
-        return 0.0 if self._open_requests else time.monotonic() - self._used_at_s
+        return 0.0 if self._open_requests else time.monotonic() - self._last_request_at_s
 
     async def run(self) -> None:
         """Keep the link connected until cancelled."""
@@ -104,13 +104,13 @@
                 *self.address, limit=_READ_BYTES, local_addr=self._source
             )
         try:
-            self.peer = await handshake.introduce(reader, writer, self._key, self._instance)
+            self.peer = await handshake.initiate(reader, writer, self._key, self._instance)
             self._outbox = outbox.Outbox(writer, self._counters)
             self._record_contact()
-            self._up.set()
+            self._connected.set()
             await self._read(reader)
         finally:
-            self._up.clear()
+            self._connected.clear()
             self._outbox = None
             writer.transport.abort()
             self._notify_open_requests(ConnectionLost())
@@ -124,11 +124,11 @@
                 self._dispatch_reply(codec.decode(body))
 
     def _record_contact(self) -> None:
-        self.heard_at_s = time.monotonic()
+        self.last_received_at_s = time.monotonic()
         self.silent = False
 
     def _dispatch_reply(self, message: codec.Envelope) -> None:
-        # Discard a reply to a request that is complete, cancelled or was never sent: a late or
+        # Discard a reply to a request that is complete, was cancelled or was never sent: a late or
         # duplicated frame must not be taken for the reply to another caller's request.
         entry = self._open_requests.get(message.requestId)
         if entry is None:
@@ -157,8 +157,8 @@
         self._request_id += 1
         message = codec.envelope(self._request_id)
         fill(message)
-        self._used_at_s = time.monotonic()
-        self._open_requests[self._request_id] = (on_reply, self._used_at_s)
+        self._last_request_at_s = time.monotonic()
+        self._open_requests[self._request_id] = (on_reply, self._last_request_at_s)
         self._outbox.put(message)
         return self._request_id
 
@@ -197,7 +197,7 @@
 
         try:
             async with asyncio.timeout(timeout_s):
-                await self._up.wait()
+                await self._connected.wait()
         except TimeoutError as error:
             raise LinkError("not_connected", sent=False) from error
         request_id = self.send(fill, on_reply)
@@ -220,8 +220,8 @@
         """
         Ping a silent peer with open requests, and notify the requests after ``limit_s``.
 
-        A frozen owner keeps its connections open, so only silence reveals it. The failure
-        detector's probes take a second or more to find it, longer than a dispatcher's deadline.
+        A frozen owner keeps its connections open, so only silence reveals it. The failure detector
+        takes a second or more to find it, longer than an interactive caller's deadline.
 
         :param limit_s: time without received bytes after which the peer counts as frozen
         """
@@ -229,13 +229,13 @@
             return
         now_s = time.monotonic()
         since_s = max(
-            self.heard_at_s, min(sent_at_s for _, sent_at_s in self._open_requests.values())
+            self.last_received_at_s, min(sent_at_s for _, sent_at_s in self._open_requests.values())
         )
         if now_s - since_s > limit_s:
             self.silent = True
             self._notify_open_requests(PeerSilent())
-        elif now_s - since_s > limit_s / 3 and now_s - self._pinged_at_s > limit_s / 3:
-            self._pinged_at_s = now_s
+        elif now_s - since_s > limit_s / 3 and now_s - self._last_ping_at_s > limit_s / 3:
+            self._last_ping_at_s = now_s
             message = codec.envelope(0)
             message.init("ping")
             self._outbox.put(message)
--- a/src/turmericlug/wire/outbox.py
+++ b/src/turmericlug/wire/outbox.py
@@ -7,7 +7,7 @@
 from turmericlug.telemetry import counters as counters_module
 from turmericlug.wire import codec
 
-# A peer with this much unsent data is frozen or partitioned; bounds the memory per connection.
+# Bounds the memory per connection; a peer with this much unsent data is frozen or partitioned.
 MAX_UNSENT_BYTES = 32 << 20
 
 
--- a/src/turmericlug/wire/peer.capnp
+++ b/src/turmericlug/wire/peer.capnp
@@ -37,7 +37,7 @@
 struct Hello { protocol @0 :UInt16; proof @1 :Data; instance @2 :Text; incarnation @3 :UInt64; }
 
 struct Stamp {
-  # The revisions that the sender has applied, and the age of the evidence that they are newest.
+  # The revisions in force at the sender, and the age of the evidence that they are the newest.
   rulesRevision @0 :UInt64;
   catalogRevision @1 :UInt64;
   evidenceAgeMs @2 :UInt32;
--- a/src/turmericlug/wire/server.py
+++ b/src/turmericlug/wire/server.py
@@ -49,8 +49,8 @@
         self._counters = counters
         self.tasks = tasks.Tasks()
 
-    def connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve a new connection in its own task."""
+    def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve a new connection in its own task, or reject it when too many are open."""
         if len(self.tasks) >= MAX_CONNECTIONS:
             self._counters.add("peer.rejected.too_many")
             writer.transport.abort()
@@ -81,12 +81,12 @@
     async def _read(
         self,
         reader: asyncio.StreamReader,
-        box: outbox.Outbox,
+        connection_outbox: outbox.Outbox,
         peer: str,
         requests: dict[int, Request],
     ) -> None:
         frames = codec.FrameReader()
-        newest = 0
+        last_request_id = 0
         while data := await reader.read(_READ_BYTES):
             for body in frames.feed(data):
                 message = codec.decode(body)
@@ -98,30 +98,30 @@
                     continue
                 # A duplicated frame would run a request twice. Request IDs strictly increase on a
                 # connection, so a duplicate is detected and closes the connection.
-                if message.requestId and message.requestId <= newest:
+                if message.requestId and message.requestId <= last_request_id:
                     raise codec.FrameError("request ID was already used on this connection")
-                newest = max(newest, message.requestId)
-                self._dispatch(str(kind), Request(peer, message, box), requests)
+                last_request_id = max(last_request_id, message.requestId)
+                self._dispatch(str(kind), Request(peer, message, connection_outbox), requests)
 
     def _dispatch(self, kind: str, request: Request, requests: dict[int, Request]) -> None:
         handler = self.handlers.get(kind)
         if handler is None:
             request.reply(lambda envelope: setattr(envelope, "fault", "unknown_request"))
             return
-        outcome = handler(request)
+        coroutine = handler(request)
         if request.on_cancel is not None:
             requests[request.message.requestId] = request
             if len(requests) > 4096:
-                for number in list(requests)[:2048]:
-                    del requests[number]
-        if outcome is not None:
-            self.tasks.start(outcome)
+                for request_id in list(requests)[:2048]:
+                    del requests[request_id]
+        if coroutine is not None:
+            self.tasks.start(coroutine)
 
 
 @contextlib.asynccontextmanager
 async def listening(server: Server, host: str, port: int) -> abc.AsyncIterator[Server]:
     """Accept connections of peers within the block."""
-    listener = await asyncio.start_server(server.connected, host, port, limit=_READ_BYTES)
+    listener = await asyncio.start_server(server.on_connection, host, port, limit=_READ_BYTES)
     try:
         yield server
     finally:
@@ -130,7 +130,7 @@
 
 
 async def _flush_rejection(writer: asyncio.StreamWriter) -> None:
-    """Give the peer time to read the reason for the rejection."""
+    """Send the reason for the rejection and give the peer time to read it."""
     with contextlib.suppress(OSError, TimeoutError):
         async with asyncio.timeout(1):
             await writer.drain()
--- a/src/turmericlug/wire/suspects_codec.py
+++ b/src/turmericlug/wire/suspects_codec.py
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class Suspects:
-    """One instance's report on requests."""
+    """One instance's report on requests that crash replicas."""
 
     records: dict[poison.Fingerprint, poison.Record]
     wants_all: bool = False
@@ -77,11 +77,11 @@
         message = _SCHEMA.Suspects.from_bytes_packed(content)
         if len(message.requests) > _MAX_REQUESTS:
             raise MessageError("message lists more requests than an instance keeps")
-        records = {each.content: _record(each, now_s) for each in message.requests}
+        records = {suspect.content: _record(suspect, now_s) for suspect in message.requests}
         return Suspects(records, message.wantsAll)
     except MessageError:
         raise
-    except Exception as error:  # the library raises its own type for each kind of damage
+    except Exception as error:  # pycapnp raises a different type for each kind of malformed input
         raise MessageError(str(error).splitlines()[0][:100]) from error
 
 
@@ -89,7 +89,7 @@
     crashes = list(suspect.ends)[: poison.MAX_CRASHES]
     trial_s = min(suspect.trialLeftMs / 1000, poison.TRIAL_TIMEOUT_S)
     return poison.Record(
-        {each.replica: now_s - each.ageMs / 1000 for each in crashes},
+        {crash.replica: now_s - crash.ageMs / 1000 for crash in crashes},
         _at_s(suspect.answeredAgeMs, now_s),
         _at_s(suspect.quarantinedAgeMs, now_s),
         suspect.quarantines,
--- a/tests/mutants_daemon.py
+++ b/tests/mutants_daemon.py
@@ -196,7 +196,7 @@
     mutant.one(
         "replayed-frames-run",
         "wire/server.py",
-        "if message.requestId and message.requestId <= newest:",
+        "if message.requestId and message.requestId <= last_request_id:",
         "if message.requestId < 0:",
         "integration/test_bad_input.py::test_replayed_frame_ends_connection",
     ),
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -16,10 +16,10 @@
 @hypothesis.given(strategies.integers(1, 7), strategies.integers(1, 40))
 def test_frames_split_at_any_offset(count, size):
     stream = b"".join(frame(number) for number in range(count))
-    reader, found = codec.FrameReader(), []
+    reader, messages = codec.FrameReader(), []
     for start in range(0, len(stream), size):
-        found += [codec.decode(body) for body in reader.feed(stream[start : start + size])]
-    assert [message.requestId for message in found] == list(range(count))
+        messages += [codec.decode(body) for body in reader.feed(stream[start : start + size])]
+    assert [message.requestId for message in messages] == list(range(count))
 
 
 @hypothesis.given(strategies.binary(max_size=400))
@@ -35,9 +35,9 @@
 
 @hypothesis.given(strategies.binary(min_size=8, max_size=200), strategies.integers(0, 30))
 @hypothesis.settings(max_examples=300, derandomize=True)
-def test_corrupted_messages(noise, at):
+def test_corrupted_messages(noise, offset):
     body = bytearray(frame(9)[4:])
-    body[at : at + len(noise)] = noise
+    body[offset : offset + len(noise)] = noise
     try:
         message = codec.decode(bytes(body))
         str(message)
--- a/tests/wire/test_link.py
+++ b/tests/wire/test_link.py
@@ -56,12 +56,12 @@
 
 
 def test_timed_out_request_may_have_been_sent_and_late_reply_is_dropped():
-    async def late(request):
+    async def reply_late(request):
         await asyncio.sleep(0.2)
         reply_pong(request)
 
     async def main():
-        async with pair({"status": late}) as (link, counters):
+        async with pair({"status": reply_late}) as (link, counters):
             with pytest.raises(link_module.LinkError) as caught:
                 await link.ask(lambda envelope: setattr(envelope, "status", None), 0.1)
             assert caught.value.sent
@@ -77,7 +77,7 @@
 
     async def main():
         async with pair({"status": lambda request: None}) as (link, _):
-            await link._up.wait()
+            await link._connected.wait()
 
             def on_reply(message):
                 events.append(message)
@@ -98,7 +98,7 @@
 
     async def main():
         async with pair({"status": lambda request: None, "ping": reply_pong}) as (link, _):
-            await link._up.wait()
+            await link._connected.wait()
             fill = lambda envelope: setattr(envelope, "status", None)  # noqa: E731
             link.send(fill, lambda message: events.append(message) or True)
             await asyncio.sleep(0.05)
