--- a/src/turmericlug/kernel/__init__.py
+++ b/src/turmericlug/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""Ordered start and stop of services, and the registry in which they find each other by name."""
+"""The service container of a daemon, and the background tasks of its services."""
--- a/src/turmericlug/kernel/tasks.py
+++ b/src/turmericlug/kernel/tasks.py
@@ -7,7 +7,7 @@
 import typing
 from collections import abc
 
-Work = abc.Coroutine[typing.Any, typing.Any, typing.Any]
+AnyCoroutine = abc.Coroutine[typing.Any, typing.Any, typing.Any]
 
 
 class Tasks:
@@ -19,7 +19,7 @@
     def __len__(self) -> int:
         return len(self._tasks)
 
-    def start(self, coroutine: Work) -> asyncio.Task[typing.Any]:
+    def start(self, coroutine: AnyCoroutine) -> asyncio.Task[typing.Any]:
         """Run a coroutine in the background."""
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
@@ -47,7 +47,7 @@
 
 
 @contextlib.asynccontextmanager
-async def background(*coroutines: Work) -> abc.AsyncIterator[Tasks]:
+async def background(*coroutines: AnyCoroutine) -> abc.AsyncIterator[Tasks]:
     """Run coroutines in the background until the block ends."""
     tasks = Tasks()
     for coroutine in coroutines:
