--- a/src/turmericlug/daemon.py
+++ b/src/turmericlug/daemon.py
@@ -81,15 +81,15 @@
 
 
 def _own_member(settings: settings_module.Settings) -> members_module.Member:
-    own = settings.instance
+    instance = settings.instance
     return members_module.Member(
-        instance=own.name,
+        instance=instance.name,
         state=members_module.ALIVE,
         incarnation=int(time.time() * 1000),
-        host=own.advertised_host or own.host,
-        peers_port=own.advertised_peers_port or own.peers_port,
-        callers_port=own.callers_port,
-        data_centre=own.data_centre,
+        host=instance.advertised_host or instance.host,
+        peers_port=instance.advertised_peers_port or instance.peers_port,
+        callers_port=instance.callers_port,
+        data_centre=instance.data_centre,
         ready=False,
     )
 
@@ -107,7 +107,7 @@
         kernel.find("eras"),
     )
     platform = settings.platform
-    list_poll = detector.follow_list(
+    list_poll = detector.poll_list(
         kernel.find("session"), platform.instances_url, platform.instances_poll_ms / 1000
     )
     async with tasks.background(detector.run(), list_poll):
@@ -129,7 +129,7 @@
         settings.membership.freshness_ms,
     )
     detector.on_newer_revisions = distribution.pull_from
-    detector.reads_often = distribution.is_reader
+    detector.is_store_reader = distribution.is_reader
     distribution.refresh_instance_list = _instance_list_reader(kernel, detector)
     async with tasks.background(distribution.run(), distribution.run_watch()):
         try:
@@ -141,7 +141,7 @@
 def _instance_list_reader(
     kernel: Kernel, detector: detector_module.Detector
 ) -> abc.Callable[[], abc.Awaitable[None]]:
-    """Return a function that reads the instance list; if that fails, the last one stays in use."""
+    """Return a function that reads the instance list, or keeps the last one if that fails."""
 
     async def read() -> None:
         url = kernel.find("settings").platform.instances_url
@@ -180,7 +180,7 @@
 
 
 async def _announce_state(kernel: Kernel, owner: owner_module.Owner) -> None:
-    """Announce load and readiness to peers; not ready until the rules are known to be current."""
+    """Announce load and readiness to peers; ready means that the rules are known to be current."""
     members = kernel.find("mesh").members
     freshness = kernel.find("configuration").freshness
     while True:
@@ -224,15 +224,17 @@
         kernel.find("counters"),
         kernel.find("stop").set,
     )
-    own = settings.instance
-    async with callers_http.serving(operators.application(), own.host, own.operators_port):
+    instance = settings.instance
+    async with callers_http.serving(
+        operators.application(), instance.host, instance.operators_port
+    ):
         yield operators
 
 
 @contextlib.asynccontextmanager
 async def _peers(kernel: Kernel) -> abc.AsyncIterator[server_module.Server]:
-    own = kernel.find("settings").instance
-    server = server_module.Server(own.cluster_key, own.name, kernel.find("counters"))
+    instance = kernel.find("settings").instance
+    server = server_module.Server(instance.cluster_key, instance.name, kernel.find("counters"))
     detector = kernel.find("detector")
     distribution = kernel.find("distribution")
     owner = kernel.find("owner")
@@ -247,7 +249,7 @@
         "claim": kernel.find("records").on_claim,
         "status": kernel.find("operators").on_status,
     }
-    async with server_module.listening(server, own.host, own.peers_port):
+    async with server_module.listening(server, instance.host, instance.peers_port):
         yield server
 
 
@@ -261,8 +263,8 @@
         kernel.find("coordinator"),
         kernel.find("counters"),
     )
-    own = settings.instance
-    async with callers_http.serving(callers.application(), own.host, own.callers_port):
+    instance = settings.instance
+    async with callers_http.serving(callers.application(), instance.host, instance.callers_port):
         yield callers
 
 
@@ -336,8 +338,8 @@
     await asyncio.sleep(2 * settings.membership.probe_interval_ms / 1000)
     owner.drain()
     await asyncio.sleep(settings.policy.address_lifetime_ms / 1000)
-    end_s = time.monotonic() + _DRAIN_TIMEOUT_S
-    while (owner.in_flight() or coordinator.running) and time.monotonic() < end_s:
+    deadline_s = time.monotonic() + _DRAIN_TIMEOUT_S
+    while (owner.in_flight() or coordinator.running) and time.monotonic() < deadline_s:
         await asyncio.sleep(0.02)
     await kernel.find("callers").finish()
 
@@ -347,7 +349,7 @@
     Exclude objects that live as long as the process from cyclic garbage collection.
 
     A full collection over all loaded modules blocks the event loop for tens of milliseconds, which
-    shows as tail latency and makes peers see a silent instance.
+    adds tail latency and makes this instance look silent to its peers.
     """
     gc.collect()
     gc.freeze()
--- a/src/turmericlug/membership/detector.py
+++ b/src/turmericlug/membership/detector.py
@@ -24,13 +24,13 @@
 
 _INDIRECT_PROBES = 2
 _RETRY_DEAD_INTERVALS = 5
-_RARE_POLL_FACTOR = 30
+_SLOW_POLL_FACTOR = 30
 _DEAD_RETENTION_S = 30.0
 _LIST_TIMEOUT_S = 1.0
 
 
 class Detector:
-    """Probe peers, track suspicions and gossip; the cost does not grow with the fleet."""
+    """Probe peers, track suspicions and gossip, at a cost that does not grow with the fleet."""
 
     def __init__(
         self,
@@ -46,16 +46,16 @@
         self.eras = eras or eras_module.Eras()
         self.members = mesh.members
         self.listed: dict[str, instances.ListedInstance] = {}
-        self.reads_often: abc.Callable[[], bool] = lambda: True
+        self.is_store_reader: abc.Callable[[], bool] = lambda: True
         self.on_newer_revisions: abc.Callable[[str], None] = lambda instance: None
         self._freshness = freshness
         self._counters = counters
         self._interval_s = interval_ms / 1000
         self._timeout_s = timeout_ms / 1000
         self._suspicion_s = suspicion_ms / 1000
-        self._suspects: dict[str, float] = {}
+        self._suspect_since_s: dict[str, float] = {}
         self._dead_since_s: dict[str, float] = {}
-        self._round: list[str] = []
+        self._probe_queue: list[str] = []
         self._tasks = tasks.Tasks()
 
     def stamp(self) -> dict[str, int]:
@@ -79,23 +79,25 @@
                 for member in self.members.peers()[:8]:
                     self._tasks.start(self._probe(member.instance))
             self._expire_suspicions()
-            target = self._next_peer()
-            if target is not None:
-                self._tasks.start(self._probe(target))
+            peer = self._next_peer()
+            if peer is not None:
+                self._tasks.start(self._probe(peer))
             count += 1
             if count % _RETRY_DEAD_INTERVALS == 0:
                 self._tasks.start(self._retry_listed())
 
     def _next_peer(self) -> str | None:
-        """Return the next peer of a shuffled round, which probes each peer of the set once."""
-        while self._round:
-            instance = self._round.pop()
+        """Return the next peer of the probe set, in a new random order after each full pass."""
+        while self._probe_queue:
+            instance = self._probe_queue.pop()
             member = self.members.by_instance.get(instance)
             if member is not None and member.state != members_module.DEAD:
                 return instance
-        self._round = members_module.probe_set(self.members.own.instance, self.members.peers())
-        random.shuffle(self._round)
-        return self._round.pop() if self._round else None
+        self._probe_queue = members_module.probe_set(
+            self.members.own.instance, self.members.peers()
+        )
+        random.shuffle(self._probe_queue)
+        return self._probe_queue.pop() if self._probe_queue else None
 
     async def _probe(self, instance: str) -> None:
         if await self._probe_once(instance, ""):
@@ -113,22 +115,22 @@
             self._counters.add("membership.suspected")
             events.emit("membership.suspected", peer=instance)
         if self.members.by_instance[instance].state != members_module.DEAD:
-            self._suspects.setdefault(instance, time.monotonic())
+            self._suspect_since_s.setdefault(instance, time.monotonic())
 
-    async def _probe_once(self, instance: str, about: str) -> bool:
+    async def _probe_once(self, instance: str, indirect_peer: str) -> bool:
         link = self.mesh.link(instance)
         if link is None:
             return False
-        return await self._exchange(link, instance, about)
+        return await self._send_probe(link, instance, indirect_peer)
 
-    async def _exchange(self, link: link_module.Link, instance: str, about: str) -> bool:
-        """Probe the link's peer, or ask it to probe the instance ``about``."""
+    async def _send_probe(self, link: link_module.Link, instance: str, indirect_peer: str) -> bool:
+        """Probe the link's peer, or ask it to probe ``indirect_peer`` if that is not empty."""
         requested_at_s = time.monotonic()
 
         def fill(envelope: typing.Any) -> None:
             probe = envelope.init("probe")
             probe.stamp = self.stamp()
-            probe.about = about
+            probe.about = indirect_peer
             probe.whole = self._wants_full_list(instance)
             updates = self.members.take_updates()
             known = self.members.by_instance.get(instance)
@@ -138,19 +140,19 @@
             probe.news = members_module.to_wire(updates)
 
         try:
-            reply = await link.ask(fill, self._timeout_s * (2 if about else 1))
+            reply = await link.ask(fill, self._timeout_s * (2 if indirect_peer else 1))
         except link_module.LinkError:
             return False
         if reply.which() != "probeReply":
             return False
         self._merge_updates(reply.probeReply.news)
         self._record_stamp(link.peer, reply.probeReply.stamp, requested_at_s)
-        if not about:
-            self._suspects.pop(instance, None)
+        if not indirect_peer:
+            self._suspect_since_s.pop(instance, None)
         return bool(reply.probeReply.reached)
 
     def _wants_full_list(self, instance: str) -> bool:
-        """Whether this instance knows too few members and needs the full list."""
+        """Whether to ask for all members: too few are known, or the peer not as serving."""
         known = self.members.by_instance.get(instance)
         return len(self.members.by_instance) <= 2 or known is None or not known.serving
 
@@ -159,11 +161,11 @@
             if not self.members.merge(member):
                 self.members.refresh_load(member)
             elif member.state == members_module.ALIVE:
-                self._suspects.pop(member.instance, None)
+                self._suspect_since_s.pop(member.instance, None)
             elif member.state == members_module.SUSPECT:
                 # Every instance that learns of a suspicion runs its own timeout, so that the
                 # member is declared dead even if the instance that suspected it fails too.
-                self._suspects.setdefault(member.instance, time.monotonic())
+                self._suspect_since_s.setdefault(member.instance, time.monotonic())
 
     def _record_stamp(self, peer: str, stamp: typing.Any, requested_at_s: float) -> None:
         self.eras.observe(stamp.storeEra)
@@ -174,12 +176,12 @@
 
     def _expire_suspicions(self) -> None:
         now_s = time.monotonic()
-        for instance, suspected_at_s in list(self._suspects.items()):
+        for instance, suspected_at_s in list(self._suspect_since_s.items()):
             member = self.members.by_instance.get(instance)
             if member is None or member.state in (members_module.ALIVE, members_module.DEAD):
-                del self._suspects[instance]
+                del self._suspect_since_s[instance]
             elif now_s - suspected_at_s > self._suspicion_s:
-                del self._suspects[instance]
+                del self._suspect_since_s[instance]
                 self.members.mark(instance, members_module.DEAD)
                 self._counters.add("membership.died")
                 events.emit("membership.died", "warning", peer=instance)
@@ -189,15 +191,15 @@
         """
         Remove members that have been dead for the retention time and are no longer listed.
 
-        Outdated gossip from a peer that has not learned of the death would add a member that is
-        removed at once again as alive.
+        If they were removed at once, outdated gossip from a peer that has not learned of the death
+        would add them again as alive.
         """
         for instance, member in list(self.members.by_instance.items()):
             if member.state != members_module.DEAD:
                 self._dead_since_s.pop(instance, None)
             elif now_s - self._dead_since_s.setdefault(instance, now_s) > _DEAD_RETENTION_S:
                 if instance not in self.listed:
-                    self.members.forget(instance)
+                    self.members.remove(instance)
                     del self._dead_since_s[instance]
 
     async def _retry_listed(self) -> None:
@@ -214,7 +216,7 @@
         if missing:
             entry = random.choice(missing)
             async with self.mesh.temporary_link((entry.host, entry.port)) as link:
-                await self._exchange(link, entry.instance, "")
+                await self._send_probe(link, entry.instance, "")
 
     def on_probe(self, request: server_module.Request) -> typing.Any:
         """Reply to a probe, or probe an instance for a peer that cannot reach it."""
@@ -231,23 +233,25 @@
         self._reply(request, True, probe.whole)
         return None
 
-    async def _probe_indirectly(self, request: server_module.Request, about: str) -> None:
-        self._reply(request, await self._probe_once(about, ""), False)
+    async def _probe_indirectly(self, request: server_module.Request, instance: str) -> None:
+        self._reply(request, await self._probe_once(instance, ""), False)
 
-    def _reply(self, request: server_module.Request, reached: bool, whole: bool) -> None:
+    def _reply(self, request: server_module.Request, reached: bool, full_list: bool) -> None:
         def fill(envelope: typing.Any) -> None:
             reply = envelope.init("probeReply")
             reply.stamp = self.stamp()
             reply.reached = reached
             updates = (
-                list(self.members.by_instance.values()) if whole else self.members.take_updates()
+                list(self.members.by_instance.values())
+                if full_list
+                else self.members.take_updates()
             )
             reply.news = members_module.to_wire(updates)
 
         request.reply(fill)
 
     def on_ping(self, request: server_module.Request) -> None:
-        """Reply to a ping at once: it only checks that this process runs."""
+        """Reply to a ping, which only checks that this process runs."""
 
         def fill(envelope: typing.Any) -> None:
             envelope.init("pong")
@@ -256,36 +260,36 @@
 
     async def join(self, wait_s: float) -> None:
         """Contact a listed peer before serving, for at most ``wait_s``."""
-        end_s = time.monotonic() + wait_s
-        while self.listed and time.monotonic() < end_s:
+        deadline_s = time.monotonic() + wait_s
+        while self.listed and time.monotonic() < deadline_s:
             if self.members.peers() or set(self.listed) <= {self.members.own.instance}:
                 return
             await self._retry_listed()
 
-    async def follow_list(self, session: aiohttp.ClientSession, url: str, poll_s: float) -> None:
+    async def poll_list(self, session: aiohttp.ClientSession, url: str, poll_s: float) -> None:
         """
-        Poll the platform's list of daemons until cancelled.
+        Poll the platform's list of instances until cancelled.
 
         Only instances that read the store or have no peers yet poll it at the full rate. The others
-        learn of new instances by gossip and poll rarely: each reply lists the whole fleet, so
-        the list's load would otherwise grow with the square of the fleet.
+        learn of new instances by gossip and poll rarely: each response lists the whole fleet, so
+        the platform's load would otherwise grow with the square of the fleet's size.
         """
         while True:
             with contextlib.suppress(instances.InstancesError):
                 await self.read_list(session, url)
-            often = self.reads_often() or not self.members.peers()
+            full_rate = self.is_store_reader() or not self.members.peers()
             await asyncio.sleep(
-                poll_s * (1 if often else _RARE_POLL_FACTOR) * random.uniform(0.9, 1.1)
+                poll_s * (1 if full_rate else _SLOW_POLL_FACTOR) * random.uniform(0.9, 1.1)
             )
 
     async def read_list(self, session: aiohttp.ClientSession, url: str) -> None:
         """
-        Read the platform's list of daemons once.
+        Read the platform's list of instances once.
 
         :raises instances.InstancesError: the platform does not answer
         """
-        found = await instances.read(session, url, instances.OWN_SERVICE, _LIST_TIMEOUT_S)
-        self.listed = {entry.instance: entry for entry in found if not entry.leaving}
+        entries = await instances.read(session, url, instances.OWN_SERVICE, _LIST_TIMEOUT_S)
+        self.listed = {entry.instance: entry for entry in entries if not entry.leaving}
 
     async def close(self) -> None:
         """Cancel the probes in flight."""
--- a/src/turmericlug/membership/freshness.py
+++ b/src/turmericlug/membership/freshness.py
@@ -18,7 +18,7 @@
     catalog: int = 0
 
     def covers(self, other: Revisions) -> bool:
-        """Whether neither revision of ``other`` is newer."""
+        """Whether no revision of ``other`` is newer."""
         return self.rules >= other.rules and self.catalog >= other.catalog
 
 
@@ -27,8 +27,8 @@
     Track when this instance's configuration was last known to be the newest.
 
     A read of the store that began at time t proves that its revision was the newest at t. A peer's
-    reply carries the age of the peer's evidence, so the reply proves the same for the time of the
-    request minus that age. Only intervals measured on one clock are used, so clocks need not agree.
+    reply carries the age of the peer's evidence, so it proves the same for the time of the request
+    minus that age. Only intervals measured on one clock are used, so clocks need not agree.
 
     An instance whose evidence from the store is older than ``limit_ms`` keeps serving only while
     peers answer. Without store and peers it stops serving, since the other instances may have
@@ -64,19 +64,20 @@
 
     def record_store_read(self, began_at_s: float, revisions: Revisions) -> None:
         """Record the revisions of a read of the store that began at ``began_at_s``."""
-        if self._covers_newest(revisions):
+        if self._observe(revisions):
             self._store_evidence_at_s = max(self._store_evidence_at_s, began_at_s)
 
     def record_peer_reply(self, requested_at_s: float, revisions: Revisions, age_ms: int) -> None:
         """Record a peer's revisions and the age of its evidence at the time of its reply."""
-        if self._covers_newest(revisions):
+        if self._observe(revisions):
             self._peer_evidence_at_s = max(self._peer_evidence_at_s, requested_at_s)
             if revisions == self.in_force:
                 self._store_evidence_at_s = max(
                     self._store_evidence_at_s, requested_at_s - age_ms / 1000
                 )
 
-    def _covers_newest(self, revisions: Revisions) -> bool:
+    def _observe(self, revisions: Revisions) -> bool:
+        """Update the newest known revisions; return whether those in force cover ``revisions``."""
         self.newest_known = Revisions(
             max(self.newest_known.rules, revisions.rules),
             max(self.newest_known.catalog, revisions.catalog),
--- a/src/turmericlug/membership/members.py
+++ b/src/turmericlug/membership/members.py
@@ -16,9 +16,9 @@
 _UPDATES_PER_MESSAGE = 12
 _MAX_UPDATES_PER_MESSAGE = 48
 MAX_RANKED_OWNERS = 8
-"""Upper bound on the instances in a ranking of owners."""
+"""Maximum number of instances in a ranking of owners."""
 PROBED_PEERS = 16
-"""Peers that one instance probes, in turn."""
+"""Number of peers that one instance probes, in turn."""
 
 
 @attrs.frozen
@@ -34,7 +34,7 @@
     data_centre: str
     load_permille: int = 0
     ready: bool = True
-    """Whether it has the newest configuration; an instance without rules must get no callers."""
+    """Whether it has the newest configuration; callers must not reach an instance without rules."""
 
     @property
     def serving(self) -> bool:
@@ -80,7 +80,7 @@
                 self._set(attrs.evolve(self.own, incarnation=member.incarnation + 1))
             return False
         known = self.by_instance.get(member.instance)
-        if known is not None and _rank(member) <= _rank(known):
+        if known is not None and _merge_precedence(member) <= _merge_precedence(known):
             return False
         self._set(member)
         return True
@@ -94,7 +94,7 @@
             )
 
     def mark(self, instance: str, state: str) -> bool:
-        """Set another instance's state as we see it; ignored when a newer belief came in."""
+        """Set the state of another instance as observed here, if it overrides the known state."""
         known = self.by_instance.get(instance)
         if known is None or _PRECEDENCE[state] <= _PRECEDENCE[known.state]:
             return False
@@ -110,7 +110,7 @@
         self.own = attrs.evolve(self.own, load_permille=load_permille)
         self.by_instance[self.own.instance] = self.own
 
-    def forget(self, instance: str) -> None:
+    def remove(self, instance: str) -> None:
         """Remove a dead instance that the platform no longer lists."""
         self.by_instance.pop(instance, None)
         self._pending_updates.pop(instance, None)
@@ -119,7 +119,7 @@
         """
         Return the updates for the next message: this instance, then those sent least often.
 
-        The number rises with the backlog, as when a whole data centre fails.
+        Their number grows with the backlog, for example when a whole data centre fails.
         """
         count = min(
             max(_UPDATES_PER_MESSAGE, len(self._pending_updates) // 4), _MAX_UPDATES_PER_MESSAGE
@@ -148,13 +148,13 @@
         self._pending_updates[instance] = 3 * math.ceil(math.log2(len(self.by_instance) + 1)) + 1
 
 
-def _rank(member: Member) -> tuple[int, int]:
+def _merge_precedence(member: Member) -> tuple[int, int]:
     return member.incarnation, _PRECEDENCE[member.state]
 
 
 def rank_owners(service: str, data_centre: str, members: list[Member]) -> list[Member]:
     """
-    Rank the first instances for a service by rendezvous hashing; the first one owns it.
+    Return the highest-ranked instances for a service by rendezvous hashing; the first owns it.
 
     Instances in the replicas' data centre rank first, which keeps the latency from the owner to
     its targets low. Adding or removing one instance moves only that instance's services.
@@ -168,14 +168,14 @@
         score = xxhash.xxh3_64_intdigest(f"{service}\0{member.instance}".encode())
         return member.data_centre == data_centre, score
 
-    local = [each for each in members if each.data_centre == data_centre]
+    local = [member for member in members if member.data_centre == data_centre]
     # Callers use only the first few; with enough local candidates, a large fleet's remote
     # instances need no score.
     candidates = local if len(local) >= MAX_RANKED_OWNERS else members
     return heapq.nlargest(MAX_RANKED_OWNERS, candidates, key=rank_key)
 
 
-def probe_set(own: str, peers: list[Member]) -> list[str]:
+def probe_set(own_instance: str, peers: list[Member]) -> list[str]:
     """
     Choose the peers that an instance probes: a fixed few, whatever the size of the fleet.
 
@@ -185,9 +185,9 @@
     """
 
     def rank_key(member: Member) -> int:
-        return xxhash.xxh3_64_intdigest(f"probe\0{own}\0{member.instance}".encode())
+        return xxhash.xxh3_64_intdigest(f"probe\0{own_instance}\0{member.instance}".encode())
 
-    return [each.instance for each in heapq.nlargest(PROBED_PEERS, peers, key=rank_key)]
+    return [member.instance for member in heapq.nlargest(PROBED_PEERS, peers, key=rank_key)]
 
 
 def to_wire(members: list[Member]) -> list[dict[str, typing.Any]]:
@@ -214,12 +214,12 @@
 
     :raises codec.FrameError: the list has a state that this version does not know
     """
-    found = []
+    members = []
     for item in items:
         state = str(item.state)
         if state not in _PRECEDENCE:
             raise codec.FrameError(f"unknown member state {state}")
-        found.append(
+        members.append(
             Member(
                 item.instance,
                 state,
@@ -232,4 +232,4 @@
                 item.ready,
             )
         )
-    return found
+    return members
--- a/src/turmericlug/membership/mesh.py
+++ b/src/turmericlug/membership/mesh.py
@@ -32,7 +32,7 @@
         self._source_host = source_host
         self._key = key
         self._counters = counters
-        self._silence_s = silence_ms / 1000
+        self._silence_limit_s = silence_ms / 1000
         self._tasks = tasks.Tasks()
         self._links: dict[str, tuple[link_module.Link, asyncio.Task[None]]] = {}
 
@@ -52,7 +52,7 @@
 
     @contextlib.asynccontextmanager
     async def temporary_link(self, address: tuple[str, int]) -> abc.AsyncIterator[link_module.Link]:
-        """Open a link to an address whose instance is not a known member, within the block."""
+        """Open a link within the block to an address whose instance is not a known member."""
         link = self._new_link(address)
         async with link_module.opened(link):
             yield link
@@ -61,22 +61,22 @@
         own = self.members.own
         return link_module.Link(address, self._key, own.instance, self._counters, self._source_host)
 
-    async def watch_silence(self) -> None:
+    async def monitor_links(self) -> None:
         """Detect silent peers and close idle links and links to dead peers, until cancelled."""
-        tick_s = self._silence_s / _CHECKS_PER_SILENCE_LIMIT
+        interval_s = self._silence_limit_s / _CHECKS_PER_SILENCE_LIMIT
         while True:
-            slept_at_s = time.monotonic()
-            await asyncio.sleep(tick_s)
-            # If this process's event loop was blocked, replies may wait unread in the sockets.
-            # Treating the peers as silent would move their parts and run the work twice.
-            lag_s = time.monotonic() - slept_at_s - tick_s
+            sleep_began_at_s = time.monotonic()
+            await asyncio.sleep(interval_s)
+            # If the event loop was blocked, replies may wait unread in the sockets. Treating the
+            # peers as silent would move their parts to other owners and run them twice.
+            lag_s = time.monotonic() - sleep_began_at_s - interval_s
             self._counters.time_ms("instance.loop_lag_ms", lag_s * 1000)
-            if lag_s > tick_s:
+            if lag_s > interval_s:
                 for link, _ in self._links.values():
                     link.last_received_at_s = time.monotonic()
                 continue
             for instance, (link, _) in list(self._links.items()):
-                link.check_silence(self._silence_s)
+                link.check_silence(self._silence_limit_s)
                 member = self.members.by_instance.get(instance)
                 gone = member is None or member.state == members_module.DEAD
                 if gone or link.idle_s() > _IDLE_LIMIT_S:
@@ -95,8 +95,8 @@
 
 @contextlib.asynccontextmanager
 async def running(mesh: Mesh) -> abc.AsyncIterator[Mesh]:
-    """Monitor the links for silence within the block."""
-    async with tasks.background(mesh.watch_silence()):
+    """Monitor the links within the block, then close them."""
+    async with tasks.background(mesh.monitor_links()):
         try:
             yield mesh
         finally:
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -10,8 +10,8 @@
 from turmericlug.membership import members
 
 
-def member(name, state=members.ALIVE, incarnation=1, centre="dc"):
-    return members.Member(name, state, incarnation, "127.0.0.1", 1, 2, centre)
+def make_member(name, state=members.ALIVE, incarnation=1, data_centre="dc"):
+    return members.Member(name, state, incarnation, "127.0.0.1", 1, 2, data_centre)
 
 
 @pytest.mark.parametrize(
@@ -27,30 +27,30 @@
     ],
 )
 def test_merge(known, received, state):
-    view = members.Members(member("me"))
-    view.merge(member("peer", *known))
-    view.merge(member("peer", *received))
+    view = members.Members(make_member("me"))
+    view.merge(make_member("peer", *known))
+    view.merge(make_member("peer", *received))
     assert view.by_instance["peer"].state == state
 
 
 @pytest.mark.parametrize("state", [members.SUSPECT, members.DEAD])
 def test_own_death_is_refuted(state):
-    view = members.Members(member("me"))
-    view.merge(member("me", state, 5))
+    view = members.Members(make_member("me"))
+    view.merge(make_member("me", state, 5))
     assert (view.own.state, view.own.incarnation) == (members.ALIVE, 6)
     assert view.take_updates()[0] == view.own
 
 
 def test_refuting_a_death_keeps_the_leaving_state():
-    view = members.Members(member("me"))
+    view = members.Members(make_member("me"))
     view.announce(state=members.LEAVING)
-    view.merge(member("me", members.DEAD, view.own.incarnation))
+    view.merge(make_member("me", members.DEAD, view.own.incarnation))
     assert view.own.state == members.LEAVING
 
 
 def test_an_update_is_sent_a_bounded_number_of_times():
-    view = members.Members(member("me"))
-    view.merge(member("peer"))
+    view = members.Members(make_member("me"))
+    view.merge(make_member("peer"))
     sent = sum(len(view.take_updates()) > 1 for _ in range(100))
     assert 3 <= sent <= 15
 
@@ -67,30 +67,30 @@
 )
 @hypothesis.settings(derandomize=True)
 def test_views_converge_in_any_order(updates, rng):
-    ends = set()
+    final_members = set()
     for _ in range(3):
-        view = members.Members(member("me"))
+        view = members.Members(make_member("me"))
         rng.shuffle(updates)
         for update in updates:
-            view.merge(member("peer", *update))
-        ends.add(view.by_instance["peer"])
-    assert len(ends) == 1
+            view.merge(make_member("peer", *update))
+        final_members.add(view.by_instance["peer"])
+    assert len(final_members) == 1
 
 
 def test_losing_one_owner_moves_only_its_services():
-    everyone = [member(f"e{number}") for number in range(9)]
+    fleet = [make_member(f"e{number}") for number in range(9)]
     services = [f"s{number}" for number in range(900)]
-    before = {name: members.rank_owners(name, "", everyone)[0].instance for name in services}
-    after = {name: members.rank_owners(name, "", everyone[1:])[0].instance for name in services}
+    before = {name: members.rank_owners(name, "", fleet)[0].instance for name in services}
+    after = {name: members.rank_owners(name, "", fleet[1:])[0].instance for name in services}
     assert all(after[name] == before[name] for name in services if before[name] != "e0")
     counts = collections.Counter(before.values())
     assert min(counts.values()) > 60 and max(counts.values()) < 150
 
 
 def test_owner_is_in_the_replicas_data_centre():
-    everyone = [member("a", centre="x"), member("b", centre="y")]
-    assert members.rank_owners("s", "y", everyone)[0].instance == "b"
-    assert len(members.rank_owners("s", "y", everyone)) == 2
+    fleet = [make_member("a", data_centre="x"), make_member("b", data_centre="y")]
+    assert members.rank_owners("s", "y", fleet)[0].instance == "b"
+    assert len(members.rank_owners("s", "y", fleet)) == 2
 
 
 @pytest.mark.parametrize(
@@ -100,15 +100,15 @@
 )
 def test_serving_depends_on_state_and_readiness(state, ready, serving):
     """Neither a new instance without rules nor a leaving instance may get callers."""
-    found = attrs.evolve(member("a", state), ready=ready)
-    assert found.serving is serving
+    instance = attrs.evolve(make_member("a", state), ready=ready)
+    assert instance.serving is serving
 
 
 def test_wire_round_trip():
     from turmericlug.wire import codec
 
-    everyone = [attrs.evolve(member("a", "leaving", 7), load_permille=300), member("b")]
+    fleet = [attrs.evolve(make_member("a", "leaving", 7), load_permille=300), make_member("b")]
     envelope = codec.envelope(1)
-    codec.fill(envelope, "probeReply", news=members.to_wire(everyone))
-    found = codec.decode(codec.encode(envelope)[4:])
-    assert members.from_wire(found.probeReply.news) == everyone
+    codec.fill(envelope, "probeReply", news=members.to_wire(fleet))
+    decoded = codec.decode(codec.encode(envelope)[4:])
+    assert members.from_wire(decoded.probeReply.news) == fleet
