--- a/src/turmericlug/membership/detector.py
+++ b/src/turmericlug/membership/detector.py
@@ -152,7 +152,7 @@
         return bool(reply.probeReply.reached)
 
     def _wants_full_list(self, instance: str) -> bool:
-        """Whether to ask for all members: too few are known, or the peer not as serving."""
+        """Whether to ask for all members: few are known, or the peer is not known to serve."""
         known = self.members.by_instance.get(instance)
         return len(self.members.by_instance) <= 2 or known is None or not known.serving
 
--- a/src/turmericlug/membership/members.py
+++ b/src/turmericlug/membership/members.py
@@ -169,8 +169,8 @@
         return member.data_centre == data_centre, score
 
     local = [member for member in members if member.data_centre == data_centre]
-    # Callers use only the first few; with enough local candidates, a large fleet's remote
-    # instances need no score.
+    # Only the first few are used; with enough local candidates, the remote instances of a large
+    # fleet need no score.
     candidates = local if len(local) >= MAX_RANKED_OWNERS else members
     return heapq.nlargest(MAX_RANKED_OWNERS, candidates, key=rank_key)
 
--- a/src/turmericlug/wire/handshake.py
+++ b/src/turmericlug/wire/handshake.py
@@ -95,7 +95,7 @@
 
 
 async def _read_frame(reader: asyncio.StreamReader) -> codec.Envelope:
-    """Read exactly one frame; the peer sends nothing more before it gets an answer."""
+    """Read exactly one frame; the peer sends nothing more before it gets a reply."""
     try:
         async with asyncio.timeout(TIMEOUT_S):
             length = int.from_bytes(await reader.readexactly(4), "little")
