--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -8,8 +8,8 @@
     mutant.one(
         "accept-surplus-bytes",
         "http1/client.py",
-        "        if self._pending is None:\n            if self._on_unasked",
-        "        if self._pending is None and not data:\n            if self._on_unasked",
+        "        if self._pending is None:\n            if self._on_unexpected_bytes",
+        "        if self._pending is None and not data:\n            if self._on_unexpected_bytes",
         "http1/test_client.py::test_bytes_on_an_idle_connection_close_it",
     ),
     mutant.one(
@@ -126,14 +126,14 @@
     mutant.one(
         "drain-without-connection-close",
         "http1/server.py",
-        "close = answer.close or self._server.leaving or",
-        "close = answer.close or",
+        "response.close\n                    or self._server.draining\n",
+        "response.close\n",
         "http1/test_server.py::test_a_draining_server_answers_with_connection_close",
     ),
     mutant.one(
         "ignore-a-disconnect",
         "http1/server.py",
-        "        if self._work is not None:\n            self._work.cancel()\n",
+        "        if self._serve_task is not None:\n            self._serve_task.cancel()\n",
         "",
         "http1/test_server.py::test_a_disconnect_cancels_the_request",
     ),
