--- a/src/turmericlug/rules/configuration.py
+++ b/src/turmericlug/rules/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force on this instance: rules and catalogue, by rising revision only."""
+"""The configuration in force on this instance: rules and catalogue, whose revisions only rise."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class DocumentText:
-    """A configuration document as serialized for the store and for peers."""
+    """A configuration document, serialized for the store and for peers."""
 
     name: str
     revision: int
@@ -78,12 +78,12 @@
 
 @attrs.frozen
 class Head:
-    """The head key: the newest revisions; every change compares and swaps it."""
+    """Value of the head key: the newest revisions; every change compares and swaps it."""
 
     rules: int
     catalog: int
-    stored: store_module.Value
-    """The value that was read, expected by the next compare-and-swap."""
+    value: store_module.Value
+    """The value as read, expected by the next compare-and-swap."""
 
     @property
     def revisions(self) -> freshness_module.Revisions:
@@ -96,9 +96,9 @@
     return json.dumps({RULES: rules, CATALOG: catalog, "write": uuid.uuid4().hex})
 
 
-def head_from(stored: store_module.Value) -> Head:
+def parse_head(value: store_module.Value) -> Head:
     """Parse a head; an empty text means that the store has never been written."""
-    if not stored.text:
-        return Head(0, 0, stored)
-    plain = json.loads(stored.text)
-    return Head(plain[RULES], plain[CATALOG], stored)
+    if not value.text:
+        return Head(0, 0, value)
+    fields = json.loads(value.text)
+    return Head(fields[RULES], fields[CATALOG], value)
--- a/src/turmericlug/rules/distribution.py
+++ b/src/turmericlug/rules/distribution.py
@@ -21,17 +21,17 @@
 from turmericlug.wire import link as link_module
 from turmericlug.wire import server as server_module
 
-TREE_WIDTH = 8
-"""Children per node; 4,700 instances make four levels."""
+TREE_FANOUT = 8
+"""Children per node of the tree; 4,700 instances make four levels."""
 BROADCAST_TIMEOUT_S = 1.5
 PULL_TIMEOUT_S = 1.0
 READERS_PER_DATA_CENTRE = 2
-"""Instances per data centre that read the store's head; the others learn from peers."""
+"""Instances per data centre that regularly read the store's head; the others learn from peers."""
 FALLBACK_READERS = 2
-"""Expected number of other instances of a data centre that read when evidence is stale."""
+"""Expected number of other instances per data centre that read when their evidence is stale."""
 CONFIRM_TIMEOUT_S = 3.0
 _CHILD_TIMEOUT_SHARE = 0.6
-"""Share of its own timeout that a node of the tree gives its children."""
+"""Share of its own timeout that a node of the tree passes on to its children."""
 
 
 async def _skip_list_read() -> None:
@@ -100,23 +100,23 @@
     def _serving_in_own_data_centre(self) -> list[members_module.Member]:
         members = self._detector.members
         own_data_centre = members.own.data_centre
-        return [each for each in members.serving() if each.data_centre == own_data_centre]
+        return [member for member in members.serving() if member.data_centre == own_data_centre]
 
-    def _is_reader_among(self, local: list[members_module.Member]) -> bool:
+    def _is_reader_among(self, local_members: list[members_module.Member]) -> bool:
         own = self._detector.members.own
-        ranked = members_module.rank_owners("store-reader", own.data_centre, local)
-        return own.instance in [each.instance for each in ranked[:READERS_PER_DATA_CENTRE]]
+        ranked = members_module.rank_owners("store-reader", own.data_centre, local_members)
+        return own.instance in [member.instance for member in ranked[:READERS_PER_DATA_CENTRE]]
 
     def _should_read_store(self) -> bool:
         """Whether this instance reads the store: regularly, or as a fallback on stale evidence."""
-        local = self._serving_in_own_data_centre()
-        if self._is_reader_among(local):
+        local_members = self._serving_in_own_data_centre()
+        if self._is_reader_among(local_members):
             return True
-        # Fallback readers cover regular readers that failed or cannot reach the store. In an outage
-        # of the store, the random draw keeps the other instances from all calling it at once.
+        # Fallback readers stand in for regular readers that failed or cannot reach the store. The
+        # random draw keeps all instances from calling the store at once during its outage.
         if self._config.freshness.age_ms() <= self._freshness_ms:
             return False
-        return random.random() < FALLBACK_READERS / max(len(local), 1)
+        return random.random() < FALLBACK_READERS / max(len(local_members), 1)
 
     async def refresh(self) -> bool:
         """Read the head, and the documents if they differ; return whether the store answered."""
@@ -175,49 +175,58 @@
         ]
         request.reply(lambda envelope: setattr(envelope, "documentsReply", newer))
 
-    async def broadcast(self, instances: list[str], only: set[str], timeout_s: float) -> list[str]:
+    async def broadcast(
+        self, instances: list[str], document_names: set[str], timeout_s: float
+    ) -> list[str]:
         """
         Broadcast the documents in force to a set of instances along a tree.
 
-        :param instances: names, without this instance
-        :param only: names of the documents to send; an instance that lacks another one fetches it
-        :param timeout_s: limit of each branch; deeper levels get less, so that a node still
+        :param instances: names of the receivers, without this instance
+        :param document_names: documents to send; an instance that lacks another one fetches it
+        :param timeout_s: timeout of each child; deeper levels get less, so that a node still
             replies to its parent in time when one of its own children is dead
         :returns: the instances that did not confirm
         """
-        groups = [instances[start::TREE_WIDTH] for start in range(min(TREE_WIDTH, len(instances)))]
+        subtrees = [
+            instances[start::TREE_FANOUT] for start in range(min(TREE_FANOUT, len(instances)))
+        ]
         results = await asyncio.gather(
-            *(self._broadcast_to_group(group, only, timeout_s) for group in groups)
+            *(
+                self._broadcast_to_subtree(subtree, document_names, timeout_s)
+                for subtree in subtrees
+            )
         )
         return [instance for unconfirmed in results for instance in unconfirmed]
 
-    async def _broadcast_to_group(
-        self, group: list[str], only: set[str], timeout_s: float
+    async def _broadcast_to_subtree(
+        self, subtree: list[str], document_names: set[str], timeout_s: float
     ) -> list[str]:
-        """Send to a group via its first member that answers; others tried stay unconfirmed."""
+        """Send via the first instance that replies; those tried before it stay unconfirmed."""
         unconfirmed = []
-        while group:
-            head, group = group[0], group[1:]
-            reply = await self._broadcast_to_node(head, group, only, timeout_s)
+        while subtree:
+            child, subtree = subtree[0], subtree[1:]
+            reply = await self._broadcast_to_child(child, subtree, document_names, timeout_s)
             if reply is not None:
                 return unconfirmed + list(reply.unconfirmed)
-            unconfirmed.append(head)
+            unconfirmed.append(child)
         return unconfirmed
 
-    async def _broadcast_to_node(
-        self, head: str, group: list[str], only: set[str], timeout_s: float
+    async def _broadcast_to_child(
+        self, child: str, descendants: list[str], document_names: set[str], timeout_s: float
     ) -> typing.Any | None:
-        link = self._detector.mesh.link(head)
+        link = self._detector.mesh.link(child)
         if link is None:
             return None
         try:
-            reply = await link.ask(self._broadcast_filler(group, only, timeout_s), timeout_s)
+            reply = await link.ask(
+                self._broadcast_filler(descendants, document_names, timeout_s), timeout_s
+            )
         except link_module.LinkError:
             return None
         return reply.spreadReply if reply.which() == "spreadReply" else None
 
     def _broadcast_filler(
-        self, members: list[str], only: set[str], timeout_s: float
+        self, descendants: list[str], document_names: set[str], timeout_s: float
     ) -> abc.Callable[[typing.Any], None]:
         def fill(envelope: typing.Any) -> None:
             message = envelope.init("spread")
@@ -225,68 +234,70 @@
             message.documents = [
                 {"name": document.name, "revision": document.revision, "text": document.text}
                 for document in self._config.documents()
-                if document.name in only
+                if document.name in document_names
             ]
-            message.members = members
+            message.members = descendants
             message.remainingMs = int(timeout_s * 1000)
 
         return fill
 
     async def on_spread(self, request: server_module.Request) -> None:
         """
-        Apply the parent's documents, forward them and reply who did not confirm.
+        Apply a parent's broadcast, forward it, and reply with the instances that did not confirm.
 
-        Queries that began under older rules are still answered by those. This instance therefore
-        confirms only once they have ended, and stays unconfirmed if that takes too long.
+        Queries in flight keep the rules that they began with. This instance therefore confirms only
+        once the queries under older rules have ended, and not at all if that takes too long.
         """
         message = request.message.spread
         self._apply_all(message.documents)
-        wanted = freshness_module.Revisions(
+        announced = freshness_module.Revisions(
             message.stamp.rulesRevision, message.stamp.catalogRevision
         )
-        if not self._config.freshness.held.covers(wanted):
+        if not self._config.freshness.held.covers(announced):
             await self._pull(request.peer)
         timeout_s = message.remainingMs / 1000 * _CHILD_TIMEOUT_SHARE
-        unconfirmed, ended = await asyncio.gather(
+        unconfirmed, older_queries_ended = await asyncio.gather(
             self.broadcast(
-                list(message.members), {each.name for each in message.documents}, timeout_s
+                list(message.members), {document.name for document in message.documents}, timeout_s
             ),
             self.wait_for_older_queries(self._config.rules.revision, timeout_s),
         )
-        if not ended or not self._config.freshness.held.covers(wanted):
+        if not older_queries_ended or not self._config.freshness.held.covers(announced):
             unconfirmed = [*unconfirmed, self._detector.members.own.instance]
         request.reply(lambda envelope: codec.fill(envelope, "spreadReply", unconfirmed=unconfirmed))
 
     def other_instances(self) -> set[str]:
-        """Return all other instances that may serve callers: known as alive, or listed as live."""
+        """Return the others that may serve callers: not dead, or listed and not leaving."""
         members = self._detector.members
-        known = {member.instance for member in members.peers()}
-        return (known | set(self._detector.listed)) - {members.own.instance}
+        peers = {member.instance for member in members.peers()}
+        return (peers | set(self._detector.listed)) - {members.own.instance}
 
-    async def distribute(self, only: set[str], timeout_s: float = CONFIRM_TIMEOUT_S) -> list[str]:
+    async def distribute(
+        self, document_names: set[str], timeout_s: float = CONFIRM_TIMEOUT_S
+    ) -> list[str]:
         """
         Bring the configuration into force on every instance.
 
         An instance that is frozen or partitioned does not confirm, and may serve callers by the
-        older revision until it detects this. It is therefore returned, and the change is not
-        reported as accepted. An instance that the platform no longer lists and peers consider dead
-        does not count.
+        older revision until it detects its own state. It is therefore returned, and the change is
+        not reported as accepted. An instance that the platform no longer lists and that peers
+        consider dead is left out.
 
-        :param only: names of the documents that changed
+        :param document_names: documents that changed
         :returns: the instances that had not confirmed at the timeout
         """
-        end_s = time.monotonic() + timeout_s
+        deadline_s = time.monotonic() + timeout_s
         await self.refresh_instance_list()
-        waiting = self.other_instances()
+        pending = self.other_instances()
         own = self._detector.members.own.instance
         while True:
-            unconfirmed, ended = await asyncio.gather(
-                self.broadcast(sorted(waiting), only, BROADCAST_TIMEOUT_S),
+            unconfirmed, older_queries_ended = await asyncio.gather(
+                self.broadcast(sorted(pending), document_names, BROADCAST_TIMEOUT_S),
                 self.wait_for_older_queries(self._config.rules.revision, BROADCAST_TIMEOUT_S),
             )
-            waiting = set(unconfirmed) & self.other_instances()
-            if (ended and not waiting) or time.monotonic() > end_s:
-                return sorted(waiting | (set() if ended else {own}))
+            pending = set(unconfirmed) & self.other_instances()
+            if (older_queries_ended and not pending) or time.monotonic() > deadline_s:
+                return sorted(pending | (set() if older_queries_ended else {own}))
             await asyncio.sleep(0.2)
 
     async def close(self) -> None:
--- a/src/turmericlug/rules/edits.py
+++ b/src/turmericlug/rules/edits.py
@@ -1,4 +1,4 @@
-"""Operators' edits: each is rebased on the newest document, or reported as a conflict."""
+"""Operators' edits: each is applied to the newest document, or reported as a conflict."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     operation: str
     name: str
     base: int
-    """Revision that the operator edited; 0: the newest."""
+    """Revision that the operator based the edit on; 0: the newest."""
     rule: model.Rule | None = None
     before: str = ""
     after: str = ""
@@ -52,13 +52,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Impossible:
+class Inapplicable:
     """The edit cannot be applied to this document."""
 
     reason: str
 
 
-Outcome = Applied | AlreadyStored | Conflict | Impossible
+Outcome = Applied | AlreadyStored | Conflict | Inapplicable
 
 
 def apply(document: model.Document, change: Change, at_s: int) -> Outcome:
@@ -76,63 +76,63 @@
     if conflict is not None:
         return conflict
     rules = _edit_rules(list(document.rules), change)
-    if isinstance(rules, Impossible):
+    if isinstance(rules, Inapplicable):
         return rules
     revision = document.revision + 1
-    entry = model.Edit(change.edit, revision, change.operator, change.operation, change.name, at_s)
-    edits = (*document.edits, entry)[-model.EDIT_HISTORY_LENGTH :]
+    stored = model.Edit(change.edit, revision, change.operator, change.operation, change.name, at_s)
+    edits = (*document.edits, stored)[-model.EDIT_HISTORY_LENGTH :]
     return Applied(model.Document(revision, tuple(rules), edits))
 
 
-def _find_conflict(document: model.Document, change: Change) -> Conflict | Impossible | None:
+def _find_conflict(document: model.Document, change: Change) -> Conflict | Inapplicable | None:
     if not change.base or change.base >= document.revision:
         return None
-    oldest = document.edits[0].revision if document.edits else document.revision
-    if change.base < oldest - 1:
-        return Impossible(
+    oldest_revision = document.edits[0].revision if document.edits else document.revision
+    if change.base < oldest_revision - 1:
+        return Inapplicable(
             f"base revision {change.base} is too old to edit from; list the rules again"
         )
-    affected = {change.name, change.before, change.after} - {""}
+    affected_rules = {change.name, change.before, change.after} - {""}
     for edit in document.edits:
-        if edit.revision > change.base and edit.rule in affected:
+        if edit.revision > change.base and edit.rule in affected_rules:
             return Conflict(edit.operator, edit.operation, edit.rule, edit.revision)
     return None
 
 
-def _edit_rules(rules: list[model.Rule], change: Change) -> list[model.Rule] | Impossible:
+def _edit_rules(rules: list[model.Rule], change: Change) -> list[model.Rule] | Inapplicable:
     names = [rule.name for rule in rules]
     if change.operation == ADD:
         if change.name in names:
-            return Impossible(f"{change.name} already exists; use replace")
+            return Inapplicable(f"{change.name} already exists; use replace")
         if change.rule is None:
-            return Impossible("add needs a rule")
+            return Inapplicable("add needs a rule")
         return _insert(rules, change.rule, change)
     if change.name not in names:
-        return Impossible(f"there is no rule {change.name}")
+        return Inapplicable(f"there is no rule {change.name}")
     index = names.index(change.name)
     if change.operation == REPLACE:
         if change.rule is None:
-            return Impossible("replace needs a rule")
+            return Inapplicable("replace needs a rule")
         return [*rules[:index], change.rule, *rules[index + 1 :]]
     rule = rules.pop(index)
     if change.operation == RETIRE:
         return rules
     if change.operation == MOVE:
         if not change.before and not change.after:
-            return Impossible("move needs either before or after")
+            return Inapplicable("move needs either before or after")
         return _insert(rules, rule, change)
-    return Impossible(f"unknown operation {change.operation}")
+    return Inapplicable(f"unknown operation {change.operation}")
 
 
 def _insert(
     rules: list[model.Rule], rule: model.Rule, change: Change
-) -> list[model.Rule] | Impossible:
+) -> list[model.Rule] | Inapplicable:
     if change.before and change.after:
-        return Impossible("before and after exclude each other; give one")
-    names = [each.name for each in rules]
+        return Inapplicable("before and after exclude each other; give one")
+    names = [existing.name for existing in rules]
     anchor = change.before or change.after
     if anchor and anchor not in names:
-        return Impossible(f"there is no rule {anchor}")
+        return Inapplicable(f"there is no rule {anchor}")
     index = len(rules)
     if anchor:
         index = names.index(anchor) + (1 if change.after else 0)
--- a/src/turmericlug/rules/model.py
+++ b/src/turmericlug/rules/model.py
@@ -56,7 +56,9 @@
         """Return the first condition that the request fails; empty if it meets all."""
         for key, patterns in self.when.items():
             value = _request_value(request, key)
-            if value is None or not any(fnmatch.fnmatchcase(value, each) for each in patterns):
+            if value is None or not any(
+                fnmatch.fnmatchcase(value, pattern) for pattern in patterns
+            ):
                 return f"{key} is {value!r}, not {', '.join(patterns)}"
         return ""
 
@@ -72,6 +74,7 @@
     """One stored edit, kept to detect conflicts and repeated edits, and for the history."""
 
     edit: str
+    """Identifier chosen by the client."""
     revision: int
     operator: str
     operation: str
@@ -107,7 +110,7 @@
 EMPTY = Document(0, (), ())
 
 
-def covers(earlier: Rule, later: Rule) -> bool:
+def shadows(earlier: Rule, later: Rule) -> bool:
     """Whether ``earlier`` matches every request that ``later`` matches."""
     for key, patterns in earlier.when.items():
         later_patterns = later.when.get(key)
@@ -116,7 +119,8 @@
                 continue
             return False
         if not all(
-            any(_pattern_includes(broad, one) for broad in patterns) for one in later_patterns
+            any(_pattern_includes(pattern, later_pattern) for pattern in patterns)
+            for later_pattern in later_patterns
         ):
             return False
     return True
@@ -125,7 +129,7 @@
 def _pattern_includes(broad: str, narrow: str) -> bool:
     if broad in ("*", narrow):
         return True
-    # Whether one pattern includes another is not decided; only equal patterns count.
+    # Two different wildcard patterns are not compared; neither is taken to include the other.
     return not _is_pattern(narrow) and fnmatch.fnmatchcase(narrow, broad)
 
 
@@ -158,9 +162,9 @@
 
 def from_json(text: str) -> Document:
     """Parse a document read from the store."""
-    plain = json.loads(text)
-    rules = tuple(rule_from_dict(item) for item in plain["rules"])
-    return Document(plain["revision"], rules, tuple(Edit(**item) for item in plain["edits"]))
+    fields = json.loads(text)
+    rules = tuple(rule_from_dict(item) for item in fields["rules"])
+    return Document(fields["revision"], rules, tuple(Edit(**item) for item in fields["edits"]))
 
 
 def rule_from_dict(item: abc.Mapping[str, typing.Any]) -> Rule:
--- a/src/turmericlug/rules/parser.py
+++ b/src/turmericlug/rules/parser.py
@@ -1,4 +1,4 @@
-"""Parses rules from the INI text that operators write, with line and reason of each problem."""
+"""Parses rules from the INI text that operators write; gives line and reason of each problem."""
 
 from __future__ import annotations
 
@@ -30,7 +30,9 @@
     """Invalid rules; ``problems`` lists every reason."""
 
     def __init__(self, problems: list[Problem]) -> None:
-        super().__init__("\n".join(f"line {each.line}: {each.reason}" for each in problems))
+        super().__init__(
+            "\n".join(f"line {problem.line}: {problem.reason}" for problem in problems)
+        )
         self.problems = problems
 
 
@@ -160,7 +162,7 @@
     return parse_choice
 
 
-def _yes_no(raw: str) -> bool:
+def _parse_yes_no(raw: str) -> bool:
     return _one_of("yes", "no")(raw) == "yes"
 
 
@@ -178,7 +180,7 @@
     "min_coverage": _number(0.0, 1.0),
     "prefer": _one_of(model.PREFER_LATENCY, model.PREFER_COVERAGE),
     "priority": _integer(0, model.MAX_PRIORITY),
-    "hedge": _yes_no,
+    "hedge": _parse_yes_no,
     "retries": _integer(0, 3),
     "rate_per_s": _number(0.001, 1e6),
     "refuse": _parse_reason,
@@ -187,12 +189,12 @@
 
 
 def _check_contradictions(treatment: model.Treatment, line: int, problems: list[Problem]) -> None:
-    by_ms, deadline_ms = treatment.answer_by_ms, treatment.deadline_ms
-    if by_ms and deadline_ms and by_ms > deadline_ms:
+    answer_by_ms, deadline_ms = treatment.answer_by_ms, treatment.deadline_ms
+    if answer_by_ms and deadline_ms and answer_by_ms > deadline_ms:
         problems.append(Problem(line, f"{treatment.rule}: answer_by_ms is above deadline_ms"))
-    if treatment.prefer == model.PREFER_LATENCY and not by_ms:
+    if treatment.prefer == model.PREFER_LATENCY and not answer_by_ms:
         problems.append(Problem(line, f"{treatment.rule}: prefer = latency requires answer_by_ms"))
-    if treatment.refuse and (by_ms or deadline_ms or treatment.rate_per_s):
+    if treatment.refuse and (answer_by_ms or deadline_ms or treatment.rate_per_s):
         reason = f"{treatment.rule}: has refuse, so its other actions never apply"
         problems.append(Problem(line, reason))
 
@@ -200,24 +202,24 @@
 def check_reachability(
     rules: abc.Sequence[model.Rule],
     catalog: catalog_module.Catalog,
-    line_of: abc.Mapping[str, int] | None = None,
+    lines_by_rule: abc.Mapping[str, int] | None = None,
 ) -> None:
     """
     Reject rules that can never match at their position.
 
     :param rules: in order
     :param catalog: the services and groups that rules may name
-    :param line_of: line by rule name, for the problems reported
-    :raises RulesError: a rule is shadowed by an earlier one, has a name used twice, or names an
-        unknown service
+    :param lines_by_rule: line of each rule by its name, for the problems reported
+    :raises RulesError: a rule is shadowed by an earlier one, has the name of an earlier one, or
+        names an unknown service
     """
     problems = []
     for index, rule in enumerate(rules):
-        line = (line_of or {}).get(rule.name, 1)
+        line = (lines_by_rule or {}).get(rule.name, 1)
         for earlier in rules[:index]:
             if earlier.name == rule.name:
                 problems.append(Problem(line, f"{rule.name}: the name is used twice"))
-            elif model.covers(earlier, rule):
+            elif model.shadows(earlier, rule):
                 reason = f"{rule.name}: can never match, {earlier.name} before it takes all of it"
                 problems.append(Problem(line, reason))
         names = list(catalog.services) + list(catalog.groups)
@@ -231,8 +233,8 @@
 
 def line_numbers(text: str) -> dict[str, int]:
     """Return the line of each rule by its name."""
-    found = {}
+    numbers = {}
     for number, line in enumerate(text.splitlines(), 1):
         if line.startswith("[rule ") and line.rstrip().endswith("]"):
-            found[line.strip()[len("[rule ") : -1].strip()] = number
-    return found
+            numbers[line.strip()[len("[rule ") : -1].strip()] = number
+    return numbers
--- a/src/turmericlug/rules/repository.py
+++ b/src/turmericlug/rules/repository.py
@@ -1,4 +1,4 @@
-"""The configuration in the store: read, and changed by compare-and-swap on one head key."""
+"""The configuration in the store: read, and changed by compare-and-swap of its head key."""
 
 from __future__ import annotations
 
@@ -80,21 +80,21 @@
             value = await self._store.read(self.head_key)
         except store_module.StoreError as error:
             raise RepositoryError(error.reason) from error
-        return configuration.head_from(value)
+        return configuration.parse_head(value)
 
     async def read(self) -> Contents:
         """
         Read the whole configuration at one revision, creating an empty one in a new store.
 
-        A document that is older in the store than in force here was lost when the store was
-        restored from a backup. It is written back: an edit of the older one would get a revision
-        that instances already know as another edit, and would come into force nowhere.
+        If a document in the store is older than the one in force here, the store was restored from
+        a backup and has lost the newer one, which is written back. Otherwise the next edit would
+        reuse a revision that instances already have in force, and all of them would ignore it.
 
         :raises RepositoryError: the store did not answer
         """
         try:
             contents = await self._read()
-            if await self._write_back_lost(contents):
+            if await self._write_back_lost_documents(contents):
                 contents = await self._read()
         except store_module.StoreError as error:
             raise RepositoryError(error.reason) from error
@@ -106,7 +106,7 @@
             await self._create()
             values = await self._store.read_prefix(self._prefix)
         by_key = {value.key: value for value in values}
-        head = configuration.head_from(by_key[self.head_key])
+        head = configuration.parse_head(by_key[self.head_key])
         rules_text = by_key[f"{self._prefix}rules"].text
         catalog_text = by_key[f"{self._prefix}catalog"].text
         texts = [
@@ -115,13 +115,17 @@
         ]
         return Contents(head, model.from_json(rules_text), texts)
 
-    async def _write_back_lost(self, contents: Contents) -> bool:
+    async def _write_back_lost_documents(self, contents: Contents) -> bool:
         """Write the documents that the store has lost; return whether there were any."""
-        stored = {document.name: document.revision for document in contents.documents}
-        lost = [each for each in self.documents_in_force() if each.revision > stored[each.name]]
+        stored_revisions = {document.name: document.revision for document in contents.documents}
+        lost = [
+            document
+            for document in self.documents_in_force()
+            if document.revision > stored_revisions[document.name]
+        ]
         if not lost:
             return False
-        revisions = stored | {document.name: document.revision for document in lost}
+        revisions = stored_revisions | {document.name: document.revision for document in lost}
         puts = {f"{self._prefix}{document.name}": document.text for document in lost}
         for document in lost:
             if document.name == configuration.RULES:
@@ -129,14 +133,14 @@
         puts[self.head_key] = configuration.head_to_json(
             revisions[configuration.RULES], revisions[configuration.CATALOG]
         )
-        if await self._store.swap([contents.head.stored], puts):
+        if await self._store.swap([contents.head.value], puts):
             for document in lost:
                 events.emit(
                     "rules.put_back",
                     "warning",
                     document=document.name,
                     revision=document.revision,
-                    stored=stored[document.name],
+                    stored=stored_revisions[document.name],
                 )
         return True
 
@@ -154,9 +158,9 @@
         """
         Store one edit of the rules.
 
-        If the reply to a write is lost, a read decides: the document contains the edit's identifier
-        if the write took effect. Otherwise the same change is written again; if the first write
-        arrives late, its compare-and-swap fails because the head has changed.
+        If the reply to a write is lost, the document is read again: it contains the edit's
+        identifier if the write took effect. Otherwise the same change is written again; if the
+        first write arrives late, its compare-and-swap fails because the head has changed.
 
         :param change: the edit, with a unique identifier
         """
@@ -171,26 +175,30 @@
                 return Stored(outcome.revision)
             if isinstance(outcome, edits.Conflict):
                 return outcome
-            if isinstance(outcome, edits.Impossible):
+            if isinstance(outcome, edits.Inapplicable):
                 return Rejected([outcome.reason])
             try:
                 catalog = catalog_module.parse(contents.documents[1].text)
                 parser_module.check_reachability(outcome.document.rules, catalog)
             except parser_module.RulesError as error:
                 return Rejected([problem.reason for problem in error.problems])
-            written = await self._write_rules(contents.head, outcome.document)
-            if isinstance(written, str):
-                reason = written
-            elif written:
+            result = await self._write_rules(contents.head, outcome.document)
+            if isinstance(result, str):
+                reason = result
+            elif result:
                 return Stored(outcome.document.revision)
         return Unknown(reason)
 
     async def _write_rules(self, head: configuration.Head, document: model.Document) -> int | str:
-        """Write a document if the head is unchanged; 0: it changed; a text: the store failed."""
+        """
+        Write a document if the head is unchanged.
+
+        :returns: the store's revision; 0 if the head has changed; the reason if the store failed
+        """
         text = model.to_json(document)
         try:
             return await self._store.swap(
-                [head.stored],
+                [head.value],
                 {
                     self.head_key: configuration.head_to_json(document.revision, head.catalog),
                     f"{self._prefix}rules": text,
@@ -214,7 +222,7 @@
                 revision = contents.head.catalog + 1
                 head_text = configuration.head_to_json(contents.head.rules, revision)
                 puts = {self.head_key: head_text, f"{self._prefix}catalog": text}
-                if await self._store.swap([contents.head.stored], puts):
+                if await self._store.swap([contents.head.value], puts):
                     return Stored(revision)
             except (RepositoryError, store_module.StoreError) as error:
                 return Unknown(str(error))
--- a/tests/mutants_daemon.py
+++ b/tests/mutants_daemon.py
@@ -92,7 +92,7 @@
         "lost-edits-stay-lost",
         "rules/repository.py",
         "        if not lost:\n            return False",
-        "        if stored:\n            return False",
+        "        if stored_revisions:\n            return False",
         "rules/test_repository.py::test_lost_edits_are_written_back",
     ),
     mutant.one(
--- a/tests/rules/test_configuration.py
+++ b/tests/rules/test_configuration.py
@@ -26,5 +26,5 @@
     applied = [config.apply(rules(revision)) for revision in revisions]
     assert config.rules.revision == in_force == config.freshness.held.rules
     assert applied == [
-        each > max(revisions[:index], default=0) for index, each in enumerate(revisions)
+        revision > max(revisions[:index], default=0) for index, revision in enumerate(revisions)
     ]
--- a/tests/rules/test_edits.py
+++ b/tests/rules/test_edits.py
@@ -7,7 +7,7 @@
 from turmericlug.rules import edits
 from turmericlug.rules import model
 
-NUMBERS = itertools.count()
+EDIT_NUMBERS = itertools.count()
 
 
 def rule(name, refuse=""):
@@ -22,7 +22,11 @@
 
 
 def change(operation, name, **fields):
-    fields = {"edit": f"{operation}-{name}-{next(NUMBERS)}", "operator": "ann", "base": 0} | fields
+    fields = {
+        "edit": f"{operation}-{name}-{next(EDIT_NUMBERS)}",
+        "operator": "ann",
+        "base": 0,
+    } | fields
     if operation in ("add", "replace"):
         fields.setdefault("rule", rule(name))
     return edits.Change(operation=operation, name=name, **fields)
@@ -49,7 +53,7 @@
 def test_edit_gives_expected_order(operation, name, fields, names):
     before = document("a", "b", "c")
     after = applied(before, operation, name, **fields)
-    assert "".join(each.name for each in after.rules) == names
+    assert "".join(ordered.name for ordered in after.rules) == names
     assert after.revision == before.revision + 1
 
 
@@ -69,13 +73,13 @@
 )
 def test_inapplicable_edit_is_rejected(operation, name, fields):
     outcome = edits.apply(document("a", "b", "c"), change(operation, name, **fields), 1)
-    assert isinstance(outcome, edits.Impossible)
+    assert isinstance(outcome, edits.Inapplicable)
 
 
 def test_repeated_edit_takes_effect_once():
-    wanted = change("add", "d", edit="e1")
-    first = edits.apply(document("a"), wanted, 1).document
-    assert edits.apply(first, wanted, 2) == edits.AlreadyStored(first.revision)
+    addition = change("add", "d", edit="e1")
+    first = edits.apply(document("a"), addition, 1).document
+    assert edits.apply(first, addition, 2) == edits.AlreadyStored(first.revision)
 
 
 def test_edit_of_other_rule_rebases_and_of_same_rule_conflicts():
@@ -94,4 +98,4 @@
     for number in range(model.EDIT_HISTORY_LENGTH + 2):
         result = applied(result, "replace", "a", edit=f"e{number}")
     outcome = edits.apply(result, change("retire", "a", base=1), 1)
-    assert isinstance(outcome, edits.Impossible) and "too old" in outcome.reason
+    assert isinstance(outcome, edits.Inapplicable) and "too old" in outcome.reason
--- a/tests/rules/test_repository.py
+++ b/tests/rules/test_repository.py
@@ -1,4 +1,4 @@
-"""Edits against a fake store: a state machine of operators, lost replies, late writes, outages."""
+"""Edits against a fake store: lost replies, late writes, outages, restores; a state machine."""
 
 from __future__ import annotations
 
@@ -105,17 +105,17 @@
         self.store = fake_store.FakeStore()
         self.instances = [repository.Repository(self.store, "t/") for _ in range(2)]
         asyncio.run(self.instances[0].read())
-        self.count = 0
+        self.edit_count = 0
         self.stored = {}
         self.unknown = []
         self.newest = 0
 
-    def send_edit(self, instance, wanted):
-        outcome = asyncio.run(self.instances[instance].edit(wanted))
+    def send_edit(self, instance, requested):
+        outcome = asyncio.run(self.instances[instance].edit(requested))
         if isinstance(outcome, repository.Stored):
-            assert self.stored.setdefault(wanted.edit, outcome.revision) == outcome.revision
+            assert self.stored.setdefault(requested.edit, outcome.revision) == outcome.revision
         elif isinstance(outcome, repository.Unknown):
-            self.unknown.append(wanted)
+            self.unknown.append(requested)
 
     @stateful.rule(
         instance=strategies.integers(0, 1),
@@ -124,9 +124,9 @@
         behind=strategies.integers(0, 2),
     )
     def edit(self, instance, operation, name, behind):
-        self.count += 1
+        self.edit_count += 1
         base = max(0, self.newest - behind)
-        self.send_edit(instance, change(f"e{self.count}", operation, name, base=base))
+        self.send_edit(instance, change(f"e{self.edit_count}", operation, name, base=base))
 
     @stateful.rule(instance=strategies.integers(0, 1))
     def retry_unknown(self, instance):
@@ -151,10 +151,10 @@
         document = model.from_json(value.text)
         assert document.revision >= self.newest
         self.newest = document.revision
-        known = {edit.edit: edit.revision for edit in document.edits}
-        assert len(known) == len(document.edits), "an edit took effect twice"
+        revisions = {edit.edit: edit.revision for edit in document.edits}
+        assert len(revisions) == len(document.edits), "an edit took effect twice"
         for edit, revision in self.stored.items():
-            assert known.get(edit) == revision, f"{edit} was reported as stored but is missing"
+            assert revisions.get(edit) == revision, f"{edit} was reported as stored but is missing"
 
 
 TestOperators = Operators.TestCase
