--- a/src/turmericlug/records/ledger.py
+++ b/src/turmericlug/records/ledger.py
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class Operation:
-    """A claim, settlement or release of a key by one attempt."""
+    """A claim, settlement or release of an idempotency key by one attempt to run its request."""
 
     operation: str
     key: str
@@ -110,10 +110,10 @@
     writer has read every earlier record. The swap of a writer that was paused, or that wrongly
     considers itself the bucket's owner, fails; the writer then reads the log and decides again.
 
-    A store restored from a backup has lost its latest writes. Each writer writes those that it
-    knows of again. Unknown ones may have granted a claim: a key created before the restore that has
-    no record is therefore treated as open, which states neither that it has run nor that it has
-    not.
+    A store restored from a backup has lost its latest writes. Each writer writes the lost records
+    that it knows of again. A record that none knows of may have granted a claim: a key created
+    before the restore that has no record is therefore treated as open, so it may or may not have
+    run.
     """
 
     def __init__(
@@ -197,8 +197,8 @@
         """
         Decide a batch and record the changes in one write.
 
-        After a lost response the log is read again: an operation that it already contains is
-        granted, since its attempt is the recorded one, and nothing is written twice.
+        After a lost response the log is read again. An operation that it already contains is
+        granted, since its attempt is the recorded one, and is not written twice.
         """
         if self._head is None:
             await self._load()
@@ -206,11 +206,11 @@
         verdicts = []
         for pending in batch:
             key = pending.operation.key
-            known = changed.get(key) or self._entries.get(key)
-            verdict, entry = self._decide(known, pending.operation)
+            entry = changed.get(key) or self._entries.get(key)
+            verdict, new_entry = self._decide(entry, pending.operation)
             verdicts.append(verdict)
-            if entry is not None:
-                changed[key] = entry
+            if new_entry is not None:
+                changed[key] = new_entry
         if changed and not await self._append(changed):
             return
         if self._store.eras.latest != self._era:
@@ -254,7 +254,7 @@
         return written
 
     async def _swap(self, segments: dict[str, str], first_segment: int, next_segment: int) -> bool:
-        # A unique ID per write keeps a swap from matching another head with the same revision.
+        # A unique ID per write keeps a swap from matching another head whose revision was reused.
         head = json.dumps(
             {
                 "base": first_segment,
@@ -266,8 +266,8 @@
         )
         puts = {self._head_key: head, **segments}
         # The head is unknown until the response arrives, and stays so if the response is lost.
-        known, self._head = self._head, None
-        revision = await self._store.swap([known], puts)
+        expected_head, self._head = self._head, None
+        revision = await self._store.swap([expected_head], puts)
         if not revision:
             return False
         self._head = store_module.Value(self._head_key, head, revision)
@@ -308,19 +308,21 @@
         """Replace the log by its current entries, without those past their retention."""
         retention_start_s = self._retention_start_s()
         live = {
-            key: each
-            for key, each in self._entries.items()
-            if each.created_at_s > retention_start_s
+            key: entry
+            for key, entry in self._entries.items()
+            if entry.created_at_s > retention_start_s
         }
         first_segment, next_segment = self._next_segment, self._next_segment
         segments = {}
         for text in _split_segments(live):
             segments[self._segment_key(next_segment)] = text
             next_segment += 1
-        old = [self._segment_key(number) for number in range(self._first_segment, first_segment)]
+        old_keys = [
+            self._segment_key(number) for number in range(self._first_segment, first_segment)
+        ]
         if await self._swap(segments, first_segment, next_segment):
             self._entries = live
-            for key in old:
+            for key in old_keys:
                 await self._store.delete(key)
 
     def _segment_key(self, number: int) -> str:
@@ -340,7 +342,7 @@
 
 
 def _is_outdated(stored: Entry, known: Entry) -> bool:
-    """Whether a stored entry lacks the outcome or release that is known of the same attempt."""
+    """Whether a stored entry lacks the outcome or release that is known for the same attempt."""
     if stored.attempt != known.attempt or stored.outcome or stored.released:
         return False
     return bool(known.outcome) or known.released
@@ -349,37 +351,37 @@
 def _encode_entries(entries: dict[str, Entry]) -> str:
     return "\n".join(
         json.dumps(
-            [key, each.attempt, each.fingerprint, each.created_at_s, each.outcome]
-            + ([1] if each.released else [])
+            [key, entry.attempt, entry.fingerprint, entry.created_at_s, entry.outcome]
+            + ([1] if entry.released else [])
         )
-        for key, each in entries.items()
+        for key, entry in entries.items()
     )
 
 
 def _decode_entries(text: str) -> dict[str, Entry]:
-    found = {}
+    entries = {}
     for line in text.splitlines():
         key, attempt, fingerprint, created_at_s, outcome, *released = json.loads(line)
-        found[key] = Entry(attempt, fingerprint, created_at_s, outcome, bool(released))
-    return found
+        entries[key] = Entry(attempt, fingerprint, created_at_s, outcome, bool(released))
+    return entries
 
 
 def _split_segments(entries: dict[str, Entry]) -> list[str]:
     """Encode entries as texts within the store's value size; one empty text if there are none."""
-    chunks: list[str] = []
+    segments: list[str] = []
     lines: list[str] = []
     size = 0
     for key, entry in entries.items():
         line = _encode_entries({key: entry})
         if size + len(line) > _MAX_SEGMENT_BYTES:
-            chunks.append("\n".join(lines))
+            segments.append("\n".join(lines))
             lines, size = [], 0
         lines.append(line)
         size += len(line) + 1
-    chunks.append("\n".join(lines))
-    return chunks
+    segments.append("\n".join(lines))
+    return segments
 
 
 def unavailable(detail: str) -> Verdict:
-    """Return the verdict of an operation that could not be decided in time."""
+    """Return the verdict on an operation that was not confirmed; it may still be recorded."""
     return Verdict(UNAVAILABLE, detail)
--- a/src/turmericlug/records/records.py
+++ b/src/turmericlug/records/records.py
@@ -21,13 +21,13 @@
 from turmericlug.wire import server as server_module
 
 KEY_PATTERN = re.compile(r"([0-9]{9,11})-[A-Za-z0-9._~-]{1,128}\Z")
-"""An idempotency key: the Unix time of its creation in seconds, and a name given by the caller."""
+"""An idempotency key: its creation time in Unix seconds, and a name given by the caller."""
 MAX_FUTURE_S = 300
 _MAX_ATTEMPTS = 3
 SETTLE_ATTEMPT_TIMEOUT_S = 10.0
 """Timeout of one attempt to settle a claim; an outage of the store lasts for seconds."""
 SETTLE_TOTAL_S = 60.0
-"""Limit over all attempts. A draining instance waits for its own grace period at most."""
+"""Limit over all attempts. A draining instance stops waiting at the end of its grace period."""
 SETTLE_BACKOFF_MIN_S = 0.2
 SETTLE_BACKOFF_MAX_S = 5.0
 """Bounds of the backoff between attempts; a lost link is re-established within a second."""
@@ -100,9 +100,9 @@
 
     async def ask(self, operation: ledger.Operation, timeout_s: float) -> ledger.Verdict:
         """
-        Have an operation recorded by the bucket's owner, or by the next instance in rank.
+        Have the bucket's owner record an operation, or the next instance in rank if that fails.
 
-        Calling twice is safe: the operation carries its attempt, so the second writer finds it
+        Sending an operation twice is safe: it names its attempt, so the second writer finds it
         recorded.
 
         :returns: ``unavailable`` if nothing was confirmed in time; it **may** still be recorded
@@ -116,8 +116,8 @@
             left_s = deadline_s - time.monotonic()
             if left_s <= 0:
                 break
-            # Every attempt but the last gets 60 % of the time left, as a slow store is slow for
-            # each instance.
+            # Every attempt but the last gets 60 % of the time left: a slow store is slow for every
+            # instance, so most of the time goes to the first.
             attempt_timeout_s = left_s * (0.6 if attempts_left > 1 else 1.0)
             if member.instance == members.own.instance:
                 verdict = await self._ask_own(bucket, operation, attempt_timeout_s)
@@ -132,17 +132,17 @@
         """
         Record the outcome or release of a claim, with retries while no instance is available.
 
-        A claim that is never settled stays open: every retry of its key is answered that the key is
-        in use, although its only run was answered. Without retries here, one moment without a link
+        A claim that is never settled stays open: its run is answered, but every retry with its key
+        is refused because the key is in use. Without retries here, a single moment without a link
         to the bucket's owner caused that.
 
         :returns: ``unavailable`` if no instance confirmed it within ``SETTLE_TOTAL_S``
         """
-        end_s = time.monotonic() + SETTLE_TOTAL_S
+        deadline_s = time.monotonic() + SETTLE_TOTAL_S
         backoff_s = SETTLE_BACKOFF_MIN_S
         while True:
             verdict = await self.ask(operation, SETTLE_ATTEMPT_TIMEOUT_S)
-            if verdict.outcome != ledger.UNAVAILABLE or time.monotonic() + backoff_s > end_s:
+            if verdict.outcome != ledger.UNAVAILABLE or time.monotonic() + backoff_s > deadline_s:
                 return verdict
             await asyncio.sleep(backoff_s)
             backoff_s = min(2 * backoff_s, SETTLE_BACKOFF_MAX_S)
--- a/tests/mutants_daemon.py
+++ b/tests/mutants_daemon.py
@@ -63,7 +63,7 @@
     mutant.one(
         "records-without-swap",
         "records/ledger.py",
-        "revision = await self._store.swap([known], puts)",
+        "revision = await self._store.swap([expected_head], puts)",
         "revision = await self._store.swap([], puts)",
         "records/test_ledger.py::TestWriters",
     ),
--- a/tests/records/test_ledger.py
+++ b/tests/records/test_ledger.py
@@ -18,11 +18,11 @@
 
 NOW_S = int(time.time())
 LATER_S = 100
-"""Longer than a test runs."""
+"""More seconds than a test takes."""
 
 
-def make_operation(kind, attempt="a1", key="k", fingerprint="f", outcome="", at_s=NOW_S):
-    return ledger.Operation(kind, key, attempt, fingerprint, at_s, outcome)
+def make_operation(kind, attempt="a1", key="k", fingerprint="f", outcome="", created_at_s=NOW_S):
+    return ledger.Operation(kind, key, attempt, fingerprint, created_at_s, outcome)
 
 
 CLAIMED = ledger.Entry("a1", "f", NOW_S)
@@ -60,7 +60,7 @@
     assert (verdict.outcome, changed) == ("unavailable", None)
 
 
-def bucket(store):
+def make_bucket(store):
     return ledger.Bucket(store, "r/0/", 3600, 0, counters_module.Counters())
 
 
@@ -78,9 +78,9 @@
 def test_one_write_carries_many_records():
     async def main():
         store = fake_store.FakeStore()
-        writer = bucket(store)
+        writer = make_bucket(store)
         calls = [writer.ask(make_operation("claim", f"a{n}", f"k{n}")) for n in range(100)]
-        tasks = [asyncio.create_task(each) for each in calls]
+        tasks = [asyncio.create_task(call) for call in calls]
         await asyncio.sleep(0)
         running = asyncio.create_task(writer.run())
         verdicts = await asyncio.gather(*tasks)
@@ -94,36 +94,38 @@
 def test_compaction_keeps_live_records():
     async def main():
         store = fake_store.FakeStore()
-        writer = bucket(store)
+        writer = make_bucket(store)
         for number in range(80):
             await ask(writer, make_operation("claim", f"a{number}", f"k{number}"))
         await ask(writer, make_operation("settle", "a3", "k3", outcome="done"))
-        old = make_operation("claim", "old", "old", at_s=NOW_S - 3000)
-        await ask(writer, old)
+        old_claim = make_operation("claim", "old", "old", created_at_s=NOW_S - 3000)
+        await ask(writer, old_claim)
         assert len(store.values) < 60
-        fresh = bucket(store)
+        fresh = make_bucket(store)
         for number in range(80):
             verdict = await ask(fresh, make_operation("claim", "other", f"k{number}"))
             assert verdict.outcome == ("settled" if number == 3 else "open")
-        expired = await ask(fresh, make_operation("claim", "x", "x", at_s=NOW_S - 4000))
+        expired = await ask(fresh, make_operation("claim", "x", "x", created_at_s=NOW_S - 4000))
         assert expired.outcome == "expired"
 
     asyncio.run(main())
 
 
 def test_writer_does_not_mistake_another_head_for_the_one_it_read():
-    """Guards against a request that runs twice because the head's revision was reused."""
+    """Guards against a request that runs twice because a restore reused the head's revision."""
 
     async def main():
         store = fake_store.FakeStore()
-        first, second = bucket(store), bucket(store)
+        first, second = make_bucket(store), make_bucket(store)
         for number in range(2):
             await ask(first, make_operation("claim", f"a{number}", f"k{number}"))
         store.restore_backup(1)
         later_s = int(time.time()) + LATER_S
-        granted = await ask(second, make_operation("claim", "b", "y", at_s=later_s))
+        granted = await ask(second, make_operation("claim", "b", "y", created_at_s=later_s))
         assert granted.outcome == "granted"
-        assert (await ask(first, make_operation("claim", "c", "y", at_s=later_s))).outcome == "open"
+        assert (
+            await ask(first, make_operation("claim", "c", "y", created_at_s=later_s))
+        ).outcome == "open"
 
     asyncio.run(main())
 
@@ -134,7 +136,7 @@
         ("claim", make_operation("claim", "b"), "open"),
         ("settle", make_operation("claim", "b"), "settled"),
         ("release", make_operation("claim", "b"), "granted"),
-        ("claim", make_operation("claim", "b", at_s=NOW_S + LATER_S), "open"),
+        ("claim", make_operation("claim", "b", created_at_s=NOW_S + LATER_S), "open"),
     ],
 )
 @pytest.mark.parametrize("claimant", ["the same writer", "another writer", "a new writer"])
@@ -143,11 +145,11 @@
 
     async def main():
         store = fake_store.FakeStore()
-        first, second = bucket(store), bucket(store)
+        first, second = make_bucket(store), make_bucket(store)
         store.eras.on_restore += [first.reconcile, second.reconcile]
-        made = make_operation("claim", "a", at_s=again.created_at_s)
+        first_claim = make_operation("claim", "a", created_at_s=again.created_at_s)
         await ask(second, make_operation("claim", "x", "x"))
-        assert (await ask(first, made)).outcome == "granted"
+        assert (await ask(first, first_claim)).outcome == "granted"
         if last != "claim":
             await ask(first, make_operation(last, "a", outcome="done" if last == "settle" else ""))
         store.restore_backup(2)
@@ -158,7 +160,7 @@
                 await asyncio.sleep(0.001)
         running.cancel()
         writers = {"the same writer": first, "another writer": second, "a new writer": None}
-        found = await ask(writers[claimant] or bucket(store), again)
+        found = await ask(writers[claimant] or make_bucket(store), again)
         assert found.outcome == verdict
 
     asyncio.run(main())
@@ -172,22 +174,28 @@
 )
 def test_unknown_key_from_before_a_restore_is_open(observed, after_s, verdict):
     """Guards against a second run of a request whose lost record no remaining writer has read."""
-    at_s = int(time.time()) + after_s
+    created_at_s = int(time.time()) + after_s
 
     async def main():
         store = fake_store.FakeStore()
-        stopped, other = bucket(store), bucket(store)
+        stopped, other = make_bucket(store), make_bucket(store)
         await ask(other, make_operation("claim", "x", "x"))
-        assert (await ask(stopped, make_operation("claim", "a", at_s=at_s))).outcome == "granted"
+        assert (
+            await ask(stopped, make_operation("claim", "a", created_at_s=created_at_s))
+        ).outcome == "granted"
         store.restore_backup(1)
         if not observed:
             store.eras = eras.Eras()
-        fresh = bucket(store)
-        assert (await ask(fresh, make_operation("claim", "b", at_s=at_s))).outcome == verdict
+        fresh = make_bucket(store)
+        assert (
+            await ask(fresh, make_operation("claim", "b", created_at_s=created_at_s))
+        ).outcome == verdict
         store.eras = eras.Eras()
-        later = bucket(store)
+        later = make_bucket(store)
         expected = verdict if verdict == "open" else "open"
-        assert (await ask(later, make_operation("claim", "c", at_s=at_s))).outcome == expected
+        assert (
+            await ask(later, make_operation("claim", "c", created_at_s=created_at_s))
+        ).outcome == expected
 
     asyncio.run(main())
 
@@ -197,7 +205,7 @@
 
     async def main():
         store = fake_store.FakeStore()
-        writer, other = bucket(store), bucket(store)
+        writer, other = make_bucket(store), make_bucket(store)
         await ask(writer, make_operation("claim", "x", "x"))
         swap = store.swap
 
@@ -210,18 +218,22 @@
 
         store.swap = swap_and_restore
         later_s = int(time.time()) + LATER_S
-        assert (await ask(writer, make_operation("claim", "a", at_s=later_s))).outcome == "granted"
-        assert (await ask(other, make_operation("claim", "b", at_s=later_s))).outcome == "open"
+        assert (
+            await ask(writer, make_operation("claim", "a", created_at_s=later_s))
+        ).outcome == "granted"
+        assert (
+            await ask(other, make_operation("claim", "b", created_at_s=later_s))
+        ).outcome == "open"
 
     asyncio.run(main())
 
 
 def test_calls_to_a_failing_store_back_off():
-    """Guards against each bucket reading its log 20 times per second with no pending operation."""
+    """Guards against buckets without pending operations reading their log 20 times per second."""
 
     async def main():
         store = fake_store.FakeStore()
-        writer = bucket(store)
+        writer = make_bucket(store)
         await ask(writer, make_operation("claim"))
         store.down = True
         reads = []
@@ -245,7 +257,7 @@
 
     async def main():
         store = fake_store.FakeStore()
-        first, second = bucket(store), bucket(store)
+        first, second = make_bucket(store), make_bucket(store)
         await ask(second, make_operation("claim", "x", "x"))
         await ask(first, make_operation("claim", "a"))
         store.eras.on_restore.append(second.reconcile)
@@ -263,19 +275,19 @@
 class Writers(stateful.RuleBasedStateMachine):
     """
     Guards against a request that runs twice. Three writers consider themselves the owner of the
-    same bucket; writes are lost, late or dropped, the store has outages and is restored from
-    backups, writers are paused (their state is old) and restarted. A granted attempt would run, so
-    no key may ever be granted to two attempts that were not released.
+    same bucket. Replies to writes are lost, writes are late or dropped, the store has outages and
+    is restored from backups, writers are paused (their state is old) and restarted. A granted
+    attempt would run, so no key may be granted to two attempts unless the first was released.
     """
 
     def __init__(self):
         super().__init__()
         self.store = fake_store.FakeStore()
-        self.writers = [bucket(self.store) for _ in range(3)]
-        self.store.eras.on_restore.append(lambda: [each.reconcile() for each in self.writers])
-        self.ran = {}
+        self.writers = [make_bucket(self.store) for _ in range(3)]
+        self.store.eras.on_restore.append(lambda: [writer.reconcile() for writer in self.writers])
+        self.granted_attempts = {}
         self.outcomes = {}
-        self.count = 0
+        self.attempt_count = 0
 
     def run_operation(self, writer, operation):
         return asyncio.run(ask(self.reset_writer(writer), operation, 0.08))
@@ -287,39 +299,39 @@
 
     @stateful.rule(writer=strategies.integers(0, 2), key=strategies.sampled_from("xyz"))
     def claim_and_run(self, writer, key):
-        self.count += 1
-        attempt = f"a{self.count}"
+        self.attempt_count += 1
+        attempt = f"a{self.attempt_count}"
         verdict = self.run_operation(writer, make_operation("claim", attempt, key))
         if verdict.outcome == "granted":
-            assert key not in self.ran, f"{key} runs twice"
-            self.ran[key] = attempt
+            assert key not in self.granted_attempts, f"{key} runs twice"
+            self.granted_attempts[key] = attempt
         if verdict.outcome == "settled":
             assert verdict.detail == self.outcomes[key]
 
     @stateful.rule(writer=strategies.integers(0, 2), key=strategies.sampled_from("xyz"))
     def settle(self, writer, key):
-        if key in self.ran:
-            operation = make_operation("settle", self.ran[key], key, outcome=f"done-{key}")
+        if key in self.granted_attempts:
+            operation = make_operation(
+                "settle", self.granted_attempts[key], key, outcome=f"done-{key}"
+            )
             self.outcomes[key] = operation.outcome
             self.run_operation(writer, operation)
 
     @stateful.rule(writer=strategies.integers(0, 2), key=strategies.sampled_from("xyz"))
     def claim_unconfirmed_then_release(self, writer, key):
-        self.count += 1
-        attempt = f"a{self.count}"
+        self.attempt_count += 1
+        attempt = f"a{self.attempt_count}"
         self.store.plan[:0] = ["lost"]
         verdict = self.run_operation(writer, make_operation("claim", attempt, key))
         if verdict.outcome == "granted":
-            self.ran.setdefault(key, attempt)
-            assert self.ran[key] == attempt
+            self.granted_attempts.setdefault(key, attempt)
+            assert self.granted_attempts[key] == attempt
         elif verdict.outcome == "unavailable":
             self.run_operation((writer + 1) % 3, make_operation("release", attempt, key))
 
-    @stateful.rule(
-        behaviours=strategies.lists(strategies.sampled_from(["lost", "late", "dropped"]))
-    )
-    def trigger_faults(self, behaviours):
-        self.store.plan = behaviours[:3]
+    @stateful.rule(faults=strategies.lists(strategies.sampled_from(["lost", "late", "dropped"])))
+    def plan_faults(self, faults):
+        self.store.plan = faults[:3]
 
     @stateful.rule()
     def deliver_late_writes(self):
@@ -335,7 +347,7 @@
 
     @stateful.rule(writer=strategies.integers(0, 2))
     def restart(self, writer):
-        self.writers[writer] = bucket(self.store)
+        self.writers[writer] = make_bucket(self.store)
 
 
 TestWriters = Writers.TestCase
--- a/tests/records/test_records.py
+++ b/tests/records/test_records.py
@@ -36,12 +36,12 @@
 
     async def ask(records, operation, timeout_s):
         operations.append(operation)
-        return next(answers)
+        return next(verdict_iterator)
 
     async def sleep(duration_s):
         now_s[0] += duration_s
 
-    answers = itertools.chain(verdicts, itertools.repeat(verdicts[-1]))
+    verdict_iterator = itertools.chain(verdicts, itertools.repeat(verdicts[-1]))
     monkeypatch.setattr(records_module.Records, "ask", ask)
     monkeypatch.setattr(records_module.asyncio, "sleep", sleep)
     monkeypatch.setattr(records_module.time, "monotonic", lambda: now_s[0])
