--- a/src/turmericlug/storage/__init__.py
+++ b/src/turmericlug/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the general key-value store and of the instance list, over published protocols."""
+"""Clients of the platform's key-value store and instance list, over published protocols."""
--- a/src/turmericlug/storage/eras.py
+++ b/src/turmericlug/storage/eras.py
@@ -1,7 +1,7 @@
 """
-Track the store's era: the number of its restores from a backup.
+Tracks the store's era, the number of its restores from a backup.
 
-The backup is some seconds old, so each restore loses the latest writes, acknowledged ones too, and
+A backup is some seconds old, so each restore loses the latest writes, even acknowledged ones, and
 their revisions are reused. The store states its era in its responses, and instances exchange it.
 """
 
@@ -19,7 +19,7 @@
     def __init__(self, now_s: abc.Callable[[], float] = time.time) -> None:
         self._now_s = now_s
         self.latest = 0
-        """0: no era was received yet."""
+        """0: no era has been received yet."""
         self.restored_at_s: float | None = None
         """Wall-clock time at which the latest restore was detected; ``None``: none so far."""
         self.on_restore: list[abc.Callable[[], None]] = []
@@ -28,10 +28,10 @@
         """Record the era stated by a response or a peer, and run the callbacks after a restore."""
         if era <= self.latest:
             return
-        before, self.latest = self.latest, era
-        if not before:
+        previous, self.latest = self.latest, era
+        if not previous:
             return
         self.restored_at_s = self._now_s()
-        events.emit("store.returned_from_copy", "warning", era=era, before=before)
+        events.emit("store.returned_from_copy", "warning", era=era, before=previous)
         for callback in self.on_restore:
             callback()
--- a/src/turmericlug/storage/instances.py
+++ b/src/turmericlug/storage/instances.py
@@ -1,4 +1,4 @@
-"""Client of the platform's instance list, in the health format of the Consul catalogue."""
+"""Client of the platform's instance list, over the health endpoint of the Consul HTTP API."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class InstancesError(Exception):
-    """The instance list gave no usable response."""
+    """No usable response from the instance list."""
 
 
 @attrs.frozen
 class ListedInstance:
-    """An instance in the platform's list; the list lags behind, so an entry is only a hint."""
+    """An entry of the platform's list, which lags behind and is therefore only a hint."""
 
     instance: str
     generation: int
--- a/src/turmericlug/storage/store.py
+++ b/src/turmericlug/storage/store.py
@@ -17,7 +17,7 @@
 
 _ERA_HEADER = "Store-Era"
 _MAX_ERA_DIGITS = 18
-"""An era of this length fits into the 64-bit field of the protocol between instances."""
+"""An era of this length fits the 64-bit field of the protocol between instances."""
 
 
 class StoreError(Exception):
@@ -38,7 +38,7 @@
 
 
 class Store:
-    """Reads, compare-and-swaps and watches; each call is counted."""
+    """Reads, writes by compare-and-swap, deletes and watches keys; counts each call and error."""
 
     def __init__(
         self,
@@ -60,8 +60,8 @@
 
         :raises StoreError: no usable response
         """
-        found = await self._call("range", {"key": _encode(key)})
-        values = _decode_values(found)
+        reply = await self._call("range", {"key": _encode(key)})
+        values = _decode_values(reply)
         return values[0] if values else Value(key, "", 0)
 
     async def read_prefix(self, prefix: str) -> list[Value]:
@@ -71,8 +71,8 @@
         :raises StoreError: no usable response
         """
         end = prefix[:-1] + chr(ord(prefix[-1]) + 1)
-        found = await self._call("range", {"key": _encode(prefix), "range_end": _encode(end)})
-        return _decode_values(found)
+        reply = await self._call("range", {"key": _encode(prefix), "range_end": _encode(end)})
+        return _decode_values(reply)
 
     async def swap(self, expected: abc.Sequence[Value], puts: dict[str, str]) -> int:
         """
@@ -85,16 +85,16 @@
         :returns: the new revision of the written keys; 0: nothing was written
         :raises StoreError: no usable response; **the write may have taken effect**
         """
-        compare = [each for value in expected for each in _make_comparisons(value)]
+        compare = [comparison for value in expected for comparison in _make_comparisons(value)]
         success = [
             {"request_put": {"key": _encode(key), "value": _encode(text)}}
             for key, text in puts.items()
         ]
-        answer = await self._call("txn", {"compare": compare, "success": success})
-        if not answer.get("succeeded", False):
+        reply = await self._call("txn", {"compare": compare, "success": success})
+        if not reply.get("succeeded", False):
             return 0
         try:
-            return int(answer["header"]["revision"])
+            return int(reply["header"]["revision"])
         except (KeyError, TypeError, ValueError) as error:
             raise self._record_error(ValueError()) from error
 
@@ -172,19 +172,19 @@
 
 
 def _make_comparisons(value: Value) -> list[dict[str, str]]:
-    same = {"key": _encode(value.key), "result": "EQUAL"}
-    found = [same | {"target": "MOD", "mod_revision": str(value.revision)}]
+    is_equal = {"key": _encode(value.key), "result": "EQUAL"}
+    comparisons = [is_equal | {"target": "MOD", "mod_revision": str(value.revision)}]
     if value.revision:
-        found.append(same | {"target": "VALUE", "value": _encode(value.text)})
-    return found
+        comparisons.append(is_equal | {"target": "VALUE", "value": _encode(value.text)})
+    return comparisons
 
 
 def _encode(text: str) -> str:
     return base64.b64encode(text.encode()).decode()
 
 
-def _decode_values(answer: dict[str, typing.Any]) -> list[Value]:
-    return [_decode_value(item) for item in answer.get("kvs", [])]
+def _decode_values(reply: dict[str, typing.Any]) -> list[Value]:
+    return [_decode_value(item) for item in reply.get("kvs", [])]
 
 
 def _decode_value(item: dict[str, typing.Any]) -> Value:
--- a/tests/storage/test_storage.py
+++ b/tests/storage/test_storage.py
@@ -16,7 +16,7 @@
 
 @contextlib.asynccontextmanager
 async def connected():
-    """Run the stand-in; yield a client of it, and a function that sets its behaviour."""
+    """Run the stand-in; yield a client of it, and a coroutine that sets the stand-in's faults."""
     (port,) = fleet_spec.reserve_ports(1)
     url = f"http://127.0.0.1:{port}"
     serving = asyncio.create_task(standin_platform.serve("127.0.0.1", port))
