--- a/src/turmericlug/catalog/catalog.py
+++ b/src/turmericlug/catalog/catalog.py
@@ -35,7 +35,7 @@
     shards: dict[str, tuple[str, ...]]
 
     def shards_of(self, service: str) -> tuple[str, ...]:
-        """Return the shards of a service; an unpartitioned one has a single shard."""
+        """Return the shards of a service; an unpartitioned one has a single shard of its name."""
         return self.shards.get(service, (service,))
 
 
@@ -49,7 +49,7 @@
     """Oldest first; queries are pinned to the last one."""
 
     def members_of(self, name: str) -> tuple[str, ...]:
-        """Return the services of a group, or the one of that name; none if unknown."""
+        """Return the services of a group, or the service of that name; none if unknown."""
         if name in self.groups:
             return self.groups[name]
         return (name,) if name in self.services else ()
@@ -96,7 +96,7 @@
             continue
         slots, connections = limits["slots"], limits["connections"]
         data_centre = limits.get("data_centre", "")
-        if not all(isinstance(number, int) and number > 0 for number in (slots, connections)):
+        if not all(isinstance(limit, int) and limit > 0 for limit in (slots, connections)):
             problems.append(f"services.{name}: slots and connections must be integers above 0")
         elif connections < 2 * slots:
             problems.append(f"services.{name}: connections must be at least twice slots")
@@ -151,5 +151,7 @@
                     f"snapshots.{name}.{service}: must be a non-empty list of distinct shards"
                 )
         if not problems:
-            parsed[name] = Snapshot(name, {key: tuple(value) for key, value in shards.items()})
+            parsed[name] = Snapshot(
+                name, {service: tuple(names) for service, names in shards.items()}
+            )
     return tuple(parsed.values())
--- a/src/turmericlug/config/ini.py
+++ b/src/turmericlug/config/ini.py
@@ -9,7 +9,8 @@
 
 import attrs
 
-Parse = abc.Callable[[str], typing.Any]
+Parser = abc.Callable[[str], typing.Any]
+"""Parses the text of one key; raises ``ValueError`` with the reason if it is invalid."""
 
 
 class SettingsError(Exception):
@@ -27,7 +28,7 @@
     return raw
 
 
-def integer(low: int, high: int) -> Parse:
+def integer(low: int, high: int) -> Parser:
     """Return a parser of integers within bounds."""
 
     def parse(raw: str) -> int:
@@ -42,7 +43,7 @@
     return parse
 
 
-def number_up_to(high: float) -> Parse:
+def number_up_to(high: float) -> Parser:
     """Return a parser of numbers from 0 to a bound."""
 
     def parse(raw: str) -> float:
@@ -71,7 +72,7 @@
     return raw.rstrip("/")
 
 
-def key(parse: Parse, default: typing.Any, doc: str) -> typing.Any:
+def key(parse: Parser, default: typing.Any, doc: str) -> typing.Any:
     """Declare a key: its parser, its default (``None``: required) and its description."""
     return attrs.field(default=default, metadata={"parse": parse, "doc": doc})
 
@@ -81,8 +82,8 @@
     Read and validate a settings file.
 
     :param path: the INI file
-    :param sections: the class of each section, with fields declared by ``key``
-    :returns: an instance of each class by section
+    :param sections: the class of each section by its name, with fields declared by ``key``
+    :returns: the parsed object of each section by its name
     :raises SettingsError: with every problem found
     """
     parser = configparser.ConfigParser(interpolation=None)
@@ -92,26 +93,26 @@
     except (OSError, UnicodeDecodeError, configparser.Error) as error:
         raise SettingsError([f"{path}: {error}"]) from error
     problems = [f"[{name}]: unknown section" for name in parser.sections() if name not in sections]
-    values = {name: _parse_section(parser, name, cls, problems) for name, cls in sections.items()}
+    settings = {name: _parse_section(parser, name, cls, problems) for name, cls in sections.items()}
     if problems:
         raise SettingsError(problems)
-    return values
+    return settings
 
 
 def _parse_section(
     parser: configparser.ConfigParser, name: str, cls: type, problems: list[str]
 ) -> typing.Any:
-    given = dict(parser[name]) if parser.has_section(name) else {}
+    raw_values = dict(parser[name]) if parser.has_section(name) else {}
     fields = {field.name: field for field in attrs.fields(cls)}
-    problems += [f"[{name}] {key}: unknown key" for key in given if key not in fields]
+    problems += [f"[{name}] {key}: unknown key" for key in raw_values if key not in fields]
     values = {}
     for key, field in fields.items():
-        if key not in given:
+        if key not in raw_values:
             if field.default is None:
                 problems.append(f"[{name}] {key}: missing ({field.metadata['doc']})")
             continue
         try:
-            values[key] = field.metadata["parse"](given[key])
+            values[key] = field.metadata["parse"](raw_values[key])
         except ValueError as error:
             problems.append(f"[{name}] {key}: {error}")
     return cls(**values) if not problems else None
--- a/src/turmericlug/config/settings.py
+++ b/src/turmericlug/config/settings.py
@@ -154,23 +154,23 @@
     :param path: the INI file
     :raises SettingsError: with every problem found
     """
-    values = ini.read(path, SECTIONS)
-    problems = _check_combinations(values)
+    sections = ini.read(path, SECTIONS)
+    problems = _check_combinations(sections)
     if problems:
         raise SettingsError(problems)
-    return Settings(**values)
+    return Settings(**sections)
 
 
-def _check_combinations(values: dict[str, typing.Any]) -> list[str]:
+def _check_combinations(sections: dict[str, typing.Any]) -> list[str]:
     problems = []
-    instance = values["instance"]
+    instance = sections["instance"]
     ports = [instance.callers_port, instance.peers_port, instance.operators_port]
     if len(set(ports)) != len(ports):
         problems.append("[instance]: callers_port, peers_port and operators_port must differ")
-    limits = values["limits"]
+    limits = sections["limits"]
     if limits.default_deadline_ms > limits.max_deadline_ms:
         problems.append("[limits] default_deadline_ms: must not be above max_deadline_ms")
-    membership = values["membership"]
+    membership = sections["membership"]
     if membership.probe_timeout_ms >= membership.freshness_ms:
         problems.append("[membership] probe_timeout_ms: must be below freshness_ms")
     return problems
--- a/tests/catalog/test_catalog.py
+++ b/tests/catalog/test_catalog.py
@@ -45,7 +45,7 @@
 def test_every_problem_is_reported(change, problem):
     with pytest.raises(catalog.CatalogError) as caught:
         catalog.parse(json.dumps(VALID | change))
-    assert any(problem in each for each in caught.value.problems)
+    assert any(problem in reported for reported in caught.value.problems)
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{", "3"])
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -62,7 +62,7 @@
     with pytest.raises(settings.SettingsError) as caught:
         load(tmp_path, MINIMAL.replace(old, new, 1))
     for problem in problems:
-        assert any(problem in each for each in caught.value.problems), caught.value.problems
+        assert any(problem in reported for reported in caught.value.problems), caught.value.problems
 
 
 def test_missing_file_is_rejected(tmp_path):
