--- a/src/turmericlug/query/coordinator.py
+++ b/src/turmericlug/query/coordinator.py
@@ -332,7 +332,7 @@
             )
         if verdict.outcome != ledger.GRANTED:
             if verdict.outcome == ledger.UNAVAILABLE:
-                self._settle(attrs.evolve(claim, operation=ledger.RELEASE))
+                self._settle(attrs.evolve(claim, kind=ledger.RELEASE))
             return outcome_module.Refused(
                 f"key_{verdict.outcome}", self._jitter_ms(1000), revision, rule
             )
@@ -340,7 +340,7 @@
         # open: an open claim means that it is unknown whether the request ran.
         outcome = await self._run_parts(query, treatment, query_id, time.monotonic(), deadline_s)
         if isinstance(outcome, outcome_module.Refused):
-            self._settle(attrs.evolve(claim, operation=ledger.RELEASE))
+            self._settle(attrs.evolve(claim, kind=ledger.RELEASE))
         elif isinstance(outcome, outcome_module.Answer):
             recorded = json.dumps(
                 {
@@ -348,7 +348,7 @@
                     "results": [[shard, body.decode()] for shard, body in outcome.results],
                 }
             )
-            self._settle(attrs.evolve(claim, operation=ledger.SETTLE, outcome=recorded))
+            self._settle(attrs.evolve(claim, kind=ledger.SETTLE, outcome=recorded))
         return outcome
 
     def _settle(self, operation: ledger.Operation) -> None:
--- a/src/turmericlug/records/ledger.py
+++ b/src/turmericlug/records/ledger.py
@@ -35,7 +35,7 @@
 class Operation:
     """A claim, settlement or release of an idempotency key by one attempt to run its request."""
 
-    operation: str
+    kind: str
     key: str
     attempt: str
     fingerprint: str
@@ -69,7 +69,7 @@
     :param entry: the recorded entry; ``None`` if the key has none
     :returns: the verdict, and the entry to record if it changes
     """
-    if operation.operation == CLAIM:
+    if operation.kind == CLAIM:
         if entry is None or entry.released:
             new_entry = Entry(operation.attempt, operation.fingerprint, operation.created_at_s)
             # The caller of an attempt that released its claim may have been answered "not run",
@@ -83,7 +83,7 @@
             return Verdict(SETTLED, entry.outcome), None
         return Verdict(GRANTED if entry.attempt == operation.attempt else OPEN), None
     if entry is None:
-        if operation.operation == RELEASE:
+        if operation.kind == RELEASE:
             released = Entry(
                 operation.attempt, operation.fingerprint, operation.created_at_s, released=True
             )
@@ -91,7 +91,7 @@
         return Verdict(MISMATCH), None
     if entry.attempt != operation.attempt or entry.released:
         return Verdict(MISMATCH), None
-    if operation.operation == RELEASE:
+    if operation.kind == RELEASE:
         return Verdict(GRANTED), attrs.evolve(entry, released=True)
     return Verdict(GRANTED), attrs.evolve(entry, outcome=operation.outcome)
 
@@ -147,10 +147,7 @@
 
     async def ask(self, operation: Operation) -> Verdict:
         """Add an operation to the next batch and wait for its verdict."""
-        if (
-            operation.operation == CLAIM
-            and operation.created_at_s < time.time() - self._retention_s
-        ):
+        if operation.kind == CLAIM and operation.created_at_s < time.time() - self._retention_s:
             return Verdict(EXPIRED)
         pending = _PendingOperation(operation, asyncio.get_running_loop().create_future())
         self._pending.append(pending)
@@ -233,9 +230,9 @@
 
     def _decide(self, entry: Entry | None, operation: Operation) -> tuple[Verdict, Entry | None]:
         if entry is None and operation.created_at_s <= self._uncertain_until_s:
-            if operation.operation == CLAIM:
+            if operation.kind == CLAIM:
                 return Verdict(OPEN, "store_returned"), None
-            if operation.operation == SETTLE:
+            if operation.kind == SETTLE:
                 attempt, fingerprint = operation.attempt, operation.fingerprint
                 settled = Entry(attempt, fingerprint, operation.created_at_s, operation.outcome)
                 return Verdict(GRANTED), settled
--- a/src/turmericlug/records/records.py
+++ b/src/turmericlug/records/records.py
@@ -125,7 +125,7 @@
                 verdict = await self._ask_peer(member.instance, operation, attempt_timeout_s)
             if verdict.outcome != ledger.UNAVAILABLE:
                 break
-        self._counters.add(f"records.{operation.operation}.{verdict.outcome}")
+        self._counters.add(f"records.{operation.kind}.{verdict.outcome}")
         return verdict
 
     async def settle(self, operation: ledger.Operation) -> ledger.Verdict:
@@ -165,7 +165,7 @@
 
         def fill(envelope: typing.Any) -> None:
             claim = envelope.init("claim")
-            claim.operation = operation.operation
+            claim.operation = operation.kind
             claim.key = operation.key
             claim.attempt = operation.attempt
             claim.fingerprint = operation.fingerprint
