--- a/src/turmericlug/query/coordinator.py
+++ b/src/turmericlug/query/coordinator.py
@@ -324,17 +324,17 @@
             query.key_created_at_s,
         )
         verdict = await self._records.ask(claim, (deadline_s - time.monotonic()) * 0.6)
-        if verdict.outcome == ledger.SETTLED:
+        if verdict.status == ledger.SETTLED:
             return _decode_recorded(verdict.detail, revision, rule)
-        if verdict.outcome == ledger.OPEN:
+        if verdict.status == ledger.OPEN:
             return outcome_module.Failed(
                 "key_in_use", revision, rule, come_back_ms=self._jitter_ms(500)
             )
-        if verdict.outcome != ledger.GRANTED:
-            if verdict.outcome == ledger.UNAVAILABLE:
+        if verdict.status != ledger.GRANTED:
+            if verdict.status == ledger.UNAVAILABLE:
                 self._settle(attrs.evolve(claim, kind=ledger.RELEASE))
             return outcome_module.Refused(
-                f"key_{verdict.outcome}", self._jitter_ms(1000), revision, rule
+                f"key_{verdict.status}", self._jitter_ms(1000), revision, rule
             )
         # If this task ends here, because it is cancelled or the instance is lost, the claim stays
         # open: an open claim means that it is unknown whether the request ran.
--- a/src/turmericlug/records/ledger.py
+++ b/src/turmericlug/records/ledger.py
@@ -47,7 +47,7 @@
 class Verdict:
     """Result of an operation; ``detail`` holds the recorded outcome of a settled key."""
 
-    outcome: str
+    status: str
     detail: str = ""
 
 
--- a/src/turmericlug/records/records.py
+++ b/src/turmericlug/records/records.py
@@ -123,9 +123,9 @@
                 verdict = await self._ask_own(bucket, operation, attempt_timeout_s)
             else:
                 verdict = await self._ask_peer(member.instance, operation, attempt_timeout_s)
-            if verdict.outcome != ledger.UNAVAILABLE:
+            if verdict.status != ledger.UNAVAILABLE:
                 break
-        self._counters.add(f"records.{operation.kind}.{verdict.outcome}")
+        self._counters.add(f"records.{operation.kind}.{verdict.status}")
         return verdict
 
     async def settle(self, operation: ledger.Operation) -> ledger.Verdict:
@@ -142,7 +142,7 @@
         backoff_s = SETTLE_BACKOFF_MIN_S
         while True:
             verdict = await self.ask(operation, SETTLE_ATTEMPT_TIMEOUT_S)
-            if verdict.outcome != ledger.UNAVAILABLE or time.monotonic() + backoff_s > deadline_s:
+            if verdict.status != ledger.UNAVAILABLE or time.monotonic() + backoff_s > deadline_s:
                 return verdict
             await asyncio.sleep(backoff_s)
             backoff_s = min(2 * backoff_s, SETTLE_BACKOFF_MAX_S)
@@ -197,7 +197,7 @@
         )
         request.reply(
             lambda envelope: codec.fill(
-                envelope, "claimReply", outcome=verdict.outcome, detail=verdict.detail
+                envelope, "claimReply", outcome=verdict.status, detail=verdict.detail
             )
         )
 
--- a/tests/mutants_daemon.py
+++ b/tests/mutants_daemon.py
@@ -56,8 +56,8 @@
     mutant.one(
         "run-without-claim",
         "query/coordinator.py",
-        "if verdict.outcome != ledger.GRANTED:",
-        "if verdict.outcome in (ledger.MISMATCH, ledger.EXPIRED):",
+        "if verdict.status != ledger.GRANTED:",
+        "if verdict.status in (ledger.MISMATCH, ledger.EXPIRED):",
         "integration/test_at_most_once.py::test_key_runs_once[store_outage]",
     ),
     mutant.one(
@@ -112,7 +112,7 @@
     mutant.one(
         "settle-without-retries",
         "records/records.py",
-        "if verdict.outcome != ledger.UNAVAILABLE or time.monotonic()",
+        "if verdict.status != ledger.UNAVAILABLE or time.monotonic()",
         "if True or time.monotonic()",
         "records/test_records.py::test_settle_retries_until_an_instance_is_available",
     ),
--- a/tests/records/test_ledger.py
+++ b/tests/records/test_ledger.py
@@ -50,14 +50,14 @@
     ],
 )
 def test_decide(entry, operation, verdict):
-    assert ledger.decide(entry, operation)[0].outcome == verdict
+    assert ledger.decide(entry, operation)[0].status == verdict
 
 
 def test_late_claim_of_a_released_attempt_is_not_granted():
     """Guards against a run after the answer "not run", when a release overtakes its claim."""
     _, entry = ledger.decide(None, make_operation("release"))
     verdict, changed = ledger.decide(entry, make_operation("claim"))
-    assert (verdict.outcome, changed) == ("unavailable", None)
+    assert (verdict.status, changed) == ("unavailable", None)
 
 
 def make_bucket(store):
@@ -85,7 +85,7 @@
         running = asyncio.create_task(writer.run())
         verdicts = await asyncio.gather(*tasks)
         running.cancel()
-        assert {verdict.outcome for verdict in verdicts} == {"granted"}
+        assert {verdict.status for verdict in verdicts} == {"granted"}
         return store.swaps
 
     assert asyncio.run(main()) == 1
@@ -104,9 +104,9 @@
         fresh = make_bucket(store)
         for number in range(80):
             verdict = await ask(fresh, make_operation("claim", "other", f"k{number}"))
-            assert verdict.outcome == ("settled" if number == 3 else "open")
+            assert verdict.status == ("settled" if number == 3 else "open")
         expired = await ask(fresh, make_operation("claim", "x", "x", created_at_s=NOW_S - 4000))
-        assert expired.outcome == "expired"
+        assert expired.status == "expired"
 
     asyncio.run(main())
 
@@ -122,10 +122,10 @@
         store.restore_backup(1)
         later_s = int(time.time()) + LATER_S
         granted = await ask(second, make_operation("claim", "b", "y", created_at_s=later_s))
-        assert granted.outcome == "granted"
+        assert granted.status == "granted"
         assert (
             await ask(first, make_operation("claim", "c", "y", created_at_s=later_s))
-        ).outcome == "open"
+        ).status == "open"
 
     asyncio.run(main())
 
@@ -149,7 +149,7 @@
         store.eras.on_restore += [first.reconcile, second.reconcile]
         first_claim = make_operation("claim", "a", created_at_s=again.created_at_s)
         await ask(second, make_operation("claim", "x", "x"))
-        assert (await ask(first, first_claim)).outcome == "granted"
+        assert (await ask(first, first_claim)).status == "granted"
         if last != "claim":
             await ask(first, make_operation(last, "a", outcome="done" if last == "settle" else ""))
         store.restore_backup(2)
@@ -161,7 +161,7 @@
         running.cancel()
         writers = {"the same writer": first, "another writer": second, "a new writer": None}
         found = await ask(writers[claimant] or make_bucket(store), again)
-        assert found.outcome == verdict
+        assert found.status == verdict
 
     asyncio.run(main())
 
@@ -182,20 +182,20 @@
         await ask(other, make_operation("claim", "x", "x"))
         assert (
             await ask(stopped, make_operation("claim", "a", created_at_s=created_at_s))
-        ).outcome == "granted"
+        ).status == "granted"
         store.restore_backup(1)
         if not observed:
             store.eras = eras.Eras()
         fresh = make_bucket(store)
         assert (
             await ask(fresh, make_operation("claim", "b", created_at_s=created_at_s))
-        ).outcome == verdict
+        ).status == verdict
         store.eras = eras.Eras()
         later = make_bucket(store)
         expected = verdict if verdict == "open" else "open"
         assert (
             await ask(later, make_operation("claim", "c", created_at_s=created_at_s))
-        ).outcome == expected
+        ).status == expected
 
     asyncio.run(main())
 
@@ -220,10 +220,10 @@
         later_s = int(time.time()) + LATER_S
         assert (
             await ask(writer, make_operation("claim", "a", created_at_s=later_s))
-        ).outcome == "granted"
+        ).status == "granted"
         assert (
             await ask(other, make_operation("claim", "b", created_at_s=later_s))
-        ).outcome == "open"
+        ).status == "open"
 
     asyncio.run(main())
 
@@ -265,9 +265,9 @@
         store.eras.observe(store.era)
         assert (
             await ask(second, make_operation("settle", "a", outcome="done"))
-        ).outcome == "granted"
+        ).status == "granted"
         found = await ask(second, make_operation("claim", "b"))
-        assert (found.outcome, found.detail) == ("settled", "done")
+        assert (found.status, found.detail) == ("settled", "done")
 
     asyncio.run(main())
 
@@ -302,10 +302,10 @@
         self.attempt_count += 1
         attempt = f"a{self.attempt_count}"
         verdict = self.run_operation(writer, make_operation("claim", attempt, key))
-        if verdict.outcome == "granted":
+        if verdict.status == "granted":
             assert key not in self.granted_attempts, f"{key} runs twice"
             self.granted_attempts[key] = attempt
-        if verdict.outcome == "settled":
+        if verdict.status == "settled":
             assert verdict.detail == self.outcomes[key]
 
     @stateful.rule(writer=strategies.integers(0, 2), key=strategies.sampled_from("xyz"))
@@ -323,10 +323,10 @@
         attempt = f"a{self.attempt_count}"
         self.store.plan[:0] = ["lost"]
         verdict = self.run_operation(writer, make_operation("claim", attempt, key))
-        if verdict.outcome == "granted":
+        if verdict.status == "granted":
             self.granted_attempts.setdefault(key, attempt)
             assert self.granted_attempts[key] == attempt
-        elif verdict.outcome == "unavailable":
+        elif verdict.status == "unavailable":
             self.run_operation((writer + 1) % 3, make_operation("release", attempt, key))
 
     @stateful.rule(faults=strategies.lists(strategies.sampled_from(["lost", "late", "dropped"])))
