--- a/src/turmericlug/membership/detector.py
+++ b/src/turmericlug/membership/detector.py
@@ -60,10 +60,10 @@
 
     def stamp(self) -> dict[str, int]:
         """Return the revisions, evidence age, load and store era that each probe carries."""
-        held = self._freshness.held
+        in_force = self._freshness.in_force
         return {
-            "rulesRevision": held.rules,
-            "catalogRevision": held.catalog,
+            "rulesRevision": in_force.rules,
+            "catalogRevision": in_force.catalog,
             "evidenceAgeMs": self._freshness.age_ms(),
             "loadPermille": self.members.own.load_permille,
             "storeEra": self.eras.latest,
@@ -169,7 +169,7 @@
         self.eras.observe(stamp.storeEra)
         revisions = freshness_module.Revisions(stamp.rulesRevision, stamp.catalogRevision)
         self._freshness.record_peer_reply(requested_at_s, revisions, stamp.evidenceAgeMs)
-        if not self._freshness.held.covers(revisions):
+        if not self._freshness.in_force.covers(revisions):
             self.on_newer_revisions(peer)
 
     def _expire_suspicions(self) -> None:
@@ -224,7 +224,7 @@
         revisions = freshness_module.Revisions(
             probe.stamp.rulesRevision, probe.stamp.catalogRevision
         )
-        if not self._freshness.held.covers(revisions):
+        if not self._freshness.in_force.covers(revisions):
             self.on_newer_revisions(request.peer)
         if probe.about:
             return self._probe_indirectly(request, probe.about)
--- a/src/turmericlug/membership/freshness.py
+++ b/src/turmericlug/membership/freshness.py
@@ -41,7 +41,7 @@
         self._store_evidence_at_s = NEVER_S
         self._peer_evidence_at_s = NEVER_S
         self._ticked_at_s = now_s()
-        self.held = Revisions()
+        self.in_force = Revisions()
         self.newest_known = Revisions()
 
     def tick(self) -> bool:
@@ -71,7 +71,7 @@
         """Record a peer's revisions and the age of its evidence at the time of its reply."""
         if self._covers_newest(revisions):
             self._peer_evidence_at_s = max(self._peer_evidence_at_s, requested_at_s)
-            if revisions == self.held:
+            if revisions == self.in_force:
                 self._store_evidence_at_s = max(
                     self._store_evidence_at_s, requested_at_s - age_ms / 1000
                 )
@@ -81,7 +81,7 @@
             max(self.newest_known.rules, revisions.rules),
             max(self.newest_known.catalog, revisions.catalog),
         )
-        return self.held.covers(revisions)
+        return self.in_force.covers(revisions)
 
     def age_ms(self) -> int:
         """Return the age of the evidence from the store, as sent to peers."""
@@ -90,7 +90,7 @@
     def is_current(self) -> bool:
         """Whether this instance may answer callers now."""
         self.tick()
-        if not self.held.rules or not self.held.covers(self.newest_known):
+        if not self.in_force.rules or not self.in_force.covers(self.newest_known):
             return False
         newest_at_s = max(self._store_evidence_at_s, self._peer_evidence_at_s)
         return self._now_s() - newest_at_s <= self._limit_s
--- a/src/turmericlug/operators/http.py
+++ b/src/turmericlug/operators/http.py
@@ -170,8 +170,8 @@
         """
         await self._distribution.refresh()
         waiting = await self._distribution.distribute({document})
-        held = self._config.freshness.held
-        if (held.rules if document == configuration.RULES else held.catalog) < revision:
+        in_force = self._config.freshness.in_force
+        if (in_force.rules if document == configuration.RULES else in_force.catalog) < revision:
             waiting = [*waiting, self._settings.instance.name]
         return web.json_response(
             {
--- a/src/turmericlug/rules/configuration.py
+++ b/src/turmericlug/rules/configuration.py
@@ -43,7 +43,7 @@
     @property
     def catalog_revision(self) -> int:
         """The revision of the catalogue in force."""
-        return self.freshness.held.catalog
+        return self.freshness.in_force.catalog
 
     def documents(self) -> list[DocumentText]:
         """Return the documents in force, as sent to peers."""
@@ -58,16 +58,16 @@
 
         :returns: whether the document was put in force
         """
-        in_force = self.freshness.held
+        in_force = self.freshness.in_force
         current = in_force.rules if document.name == RULES else in_force.catalog
         if document.revision <= current:
             return False
         if document.name == RULES:
             self.rules = model.from_json(document.text)
-            self.freshness.held = attrs.evolve(in_force, rules=document.revision)
+            self.freshness.in_force = attrs.evolve(in_force, rules=document.revision)
         else:
             self.catalog = catalog_module.parse(document.text)
-            self.freshness.held = attrs.evolve(in_force, catalog=document.revision)
+            self.freshness.in_force = attrs.evolve(in_force, catalog=document.revision)
         self._texts[document.name] = document
         self._counters.add("rules.applied")
         events.emit("rules.applied", document=document.name, revision=document.revision)
--- a/src/turmericlug/rules/distribution.py
+++ b/src/turmericlug/rules/distribution.py
@@ -123,7 +123,7 @@
         began_at_s = time.monotonic()
         try:
             head = await self._repository.read_head()
-            if not head.rules or head.revisions != self._config.freshness.held:
+            if not head.rules or head.revisions != self._config.freshness.in_force:
                 contents = await self._repository.read()
                 head = contents.head
                 for document in contents.documents:
@@ -146,7 +146,7 @@
             link = self._detector.mesh.link(peer)
             if link is None:
                 return
-            in_force = self._config.freshness.held
+            in_force = self._config.freshness.in_force
 
             def fill(envelope: typing.Any) -> None:
                 envelope.documents = [f"rules>{in_force.rules}", f"catalog>{in_force.catalog}"]
@@ -253,7 +253,7 @@
         announced = freshness_module.Revisions(
             message.stamp.rulesRevision, message.stamp.catalogRevision
         )
-        if not self._config.freshness.held.covers(announced):
+        if not self._config.freshness.in_force.covers(announced):
             await self._pull(request.peer)
         timeout_s = message.remainingMs / 1000 * _CHILD_TIMEOUT_SHARE
         unconfirmed, older_queries_ended = await asyncio.gather(
@@ -262,7 +262,7 @@
             ),
             self.wait_for_older_queries(self._config.rules.revision, timeout_s),
         )
-        if not older_queries_ended or not self._config.freshness.held.covers(announced):
+        if not older_queries_ended or not self._config.freshness.in_force.covers(announced):
             unconfirmed = [*unconfirmed, self._detector.members.own.instance]
         request.reply(lambda envelope: codec.fill(envelope, "spreadReply", unconfirmed=unconfirmed))
 
--- a/tests/membership/test_freshness.py
+++ b/tests/membership/test_freshness.py
@@ -21,7 +21,7 @@
 def make(rules=1):
     clock = Clock()
     fresh = freshness.Freshness(3000, clock)
-    fresh.held = freshness.Revisions(rules, 1)
+    fresh.in_force = freshness.Revisions(rules, 1)
     return fresh, clock
 
 
@@ -53,7 +53,7 @@
     fresh.record_store_read(clock.now_s, freshness.Revisions(1, 1))
     fresh.record_peer_reply(clock.now_s, newer, 0)
     assert not fresh.is_current()
-    fresh.held = newer
+    fresh.in_force = newer
     assert fresh.is_current()
 
 
--- a/tests/operators/test_http.py
+++ b/tests/operators/test_http.py
@@ -35,14 +35,16 @@
 
 
 @pytest.mark.parametrize(
-    ("held", "outcome", "waiting_for"), [(6, "stored", ["own"]), (7, "accepted", [])]
+    ("in_force", "outcome", "waiting_for"), [(6, "stored", ["own"]), (7, "accepted", [])]
 )
-def test_a_catalogue_is_accepted_only_once_in_force_on_this_instance(held, outcome, waiting_for):
+def test_a_catalogue_is_accepted_only_once_in_force_on_this_instance(
+    in_force, outcome, waiting_for
+):
     """
     Guards against reporting "accepted" too early: the store accepts a catalogue, then fails before
     the writing instance has read it back, so that instance still answers by the older catalogue.
     """
-    current = types.SimpleNamespace(held=freshness.Revisions(rules=1, catalog=held))
+    current = types.SimpleNamespace(in_force=freshness.Revisions(rules=1, catalog=in_force))
     operators = http.OperatorsHttp.__new__(http.OperatorsHttp)
     operators._config = types.SimpleNamespace(freshness=current)
     operators._distribution = Distribution()
