--- a/src/turmericlug/query/coordinator.py
+++ b/src/turmericlug/query/coordinator.py
@@ -326,23 +326,23 @@
             query.key_created_at_s,
         )
         verdict = await self._records.ask(claim, (deadline_s - time.monotonic()) * 0.6)
-        if verdict.outcome == ledger.SETTLED:
+        if verdict.status == ledger.SETTLED:
             return _decode_recorded(verdict.detail, revision, rule)
-        if verdict.outcome == ledger.OPEN:
+        if verdict.status == ledger.OPEN:
             return outcome_module.Failed(
                 "key_in_use", revision, rule, retry_after_ms=self._jitter_ms(500)
             )
-        if verdict.outcome != ledger.GRANTED:
-            if verdict.outcome == ledger.UNAVAILABLE:
-                self._settle(attrs.evolve(claim, operation=ledger.RELEASE))
+        if verdict.status != ledger.GRANTED:
+            if verdict.status == ledger.UNAVAILABLE:
+                self._settle(attrs.evolve(claim, kind=ledger.RELEASE))
             return outcome_module.Refused(
-                f"key_{verdict.outcome}", self._jitter_ms(1000), revision, rule
+                f"key_{verdict.status}", self._jitter_ms(1000), revision, rule
             )
         # If this task ends here, because it is cancelled or the instance is lost, the claim stays
         # open: an open claim means that it is unknown whether the request ran.
         outcome = await self._run_parts(query, treatment, query_id, time.monotonic(), deadline_s)
         if isinstance(outcome, outcome_module.Refused):
-            self._settle(attrs.evolve(claim, operation=ledger.RELEASE))
+            self._settle(attrs.evolve(claim, kind=ledger.RELEASE))
         elif isinstance(outcome, outcome_module.Answer):
             recorded = json.dumps(
                 {
@@ -350,7 +350,7 @@
                     "results": [[shard, body.decode()] for shard, body in outcome.results],
                 }
             )
-            self._settle(attrs.evolve(claim, operation=ledger.SETTLE, outcome=recorded))
+            self._settle(attrs.evolve(claim, kind=ledger.SETTLE, outcome=recorded))
         return outcome
 
     def _settle(self, operation: ledger.Operation) -> None:
--- a/tests/mutants_daemon.py
+++ b/tests/mutants_daemon.py
@@ -56,14 +56,14 @@
     mutant.one(
         "run-without-claim",
         "query/coordinator.py",
-        "if verdict.outcome != ledger.GRANTED:",
-        "if verdict.outcome in (ledger.MISMATCH, ledger.EXPIRED):",
+        "if verdict.status != ledger.GRANTED:",
+        "if verdict.status in (ledger.MISMATCH, ledger.EXPIRED):",
         "integration/test_at_most_once.py::test_key_runs_once[store_outage]",
     ),
     mutant.one(
         "records-without-swap",
         "records/ledger.py",
-        "revision = await self._store.swap([known], puts)",
+        "revision = await self._store.swap([expected_head], puts)",
         "revision = await self._store.swap([], puts)",
         "records/test_ledger.py::TestWriters",
     ),
@@ -92,7 +92,7 @@
         "lost-edits-stay-lost",
         "rules/repository.py",
         "        if not lost:\n            return False",
-        "        if stored:\n            return False",
+        "        if stored_revisions:\n            return False",
         "rules/test_repository.py::test_lost_edits_are_written_back",
     ),
     mutant.one(
@@ -112,7 +112,7 @@
     mutant.one(
         "settle-without-retries",
         "records/records.py",
-        "if verdict.outcome != ledger.UNAVAILABLE or time.monotonic()",
+        "if verdict.status != ledger.UNAVAILABLE or time.monotonic()",
         "if True or time.monotonic()",
         "records/test_records.py::test_settle_retries_until_an_instance_is_available",
     ),
