--- a/src/turmericlug/operators/client.py
+++ b/src/turmericlug/operators/client.py
@@ -22,7 +22,7 @@
 EXIT_REJECTED = 1
 EXIT_USAGE = 2
 EXIT_UNREACHABLE = 3
-EXIT_NOT_YET_EVERYWHERE = 4
+EXIT_NOT_YET_IN_FORCE = 4
 EXIT_NOT_FOUND = 5
 _TIMEOUT_S = 30.0
 
@@ -81,7 +81,7 @@
 
 
 class _Client:
-    """HTTP client for one instance, with the output format."""
+    """HTTP client of one instance, which also prints the responses as JSON or as text."""
 
     def __init__(self, url: str, token: str, as_json: bool) -> None:
         self._url = url
@@ -111,7 +111,7 @@
                 return http_response.status, await http_response.json()
 
     def show(self, response: Json, print_text: abc.Callable[[Json], None]) -> None:
-        """Print a response as JSON, or as text by the given function."""
+        """Print a response: with --json as JSON, otherwise by ``print_text``."""
         if self._as_json:
             typer.echo(json.dumps(response))
         else:
@@ -142,12 +142,12 @@
     def print_table(response: Json) -> None:
         rows = [
             (
-                number,
+                position,
                 rule["name"],
                 _format_pairs(rule["when"]) or "always",
                 _format_pairs(rule["then"]),
             )
-            for number, rule in enumerate(response["rules"], 1)
+            for position, rule in enumerate(response["rules"], 1)
         ]
         tables.show(f"Revision {response['revision']}", ["#", "rule", "when", "then"], rows)
 
@@ -159,7 +159,7 @@
     response = context.obj.call("POST", "/v1/rules/edit", body)
     context.obj.show(response, _print_stored_revision)
     if response["waiting_for"]:
-        raise typer.Exit(EXIT_NOT_YET_EVERYWHERE)
+        raise typer.Exit(EXIT_NOT_YET_IN_FORCE)
 
 
 def _print_stored_revision(response: Json) -> None:
@@ -218,7 +218,7 @@
     response = context.obj.call("POST", "/v1/rules/confirm", {})
     context.obj.show(response, _print_stored_revision)
     if response["waiting_for"]:
-        raise typer.Exit(EXIT_NOT_YET_EVERYWHERE)
+        raise typer.Exit(EXIT_NOT_YET_IN_FORCE)
 
 
 @rules.command()
@@ -255,7 +255,7 @@
     ] = [],  # noqa: B006 - typer requires a list
 ) -> None:
     """Show which rule a request would match, and why the rules before it do not."""
-    headers = dict(each.split("=", 1) for each in header if "=" in each)
+    headers = dict(text.split("=", 1) for text in header if "=" in text)
     body = {
         "service": service,
         "caller": caller,
@@ -270,7 +270,9 @@
             for step in response["steps"]
         ]
         tables.show(f"Revision {response['revision']}", ["rule", "matches", "because"], rows)
-        treatment = {key: each for key, each in response["treatment"].items() if each is not None}
+        treatment = {
+            key: value for key, value in response["treatment"].items() if value is not None
+        }
         typer.echo(f"treatment: {_format_pairs(treatment)}")
 
     context.obj.show(context.obj.call("POST", "/v1/rules/explain", body), print_table)
@@ -297,7 +299,7 @@
     response = context.obj.call("PUT", "/v1/catalog", body)
     context.obj.show(response, _print_stored_revision)
     if response["waiting_for"]:
-        raise typer.Exit(EXIT_NOT_YET_EVERYWHERE)
+        raise typer.Exit(EXIT_NOT_YET_IN_FORCE)
 
 
 @application.command()
@@ -313,7 +315,9 @@
         for name in response["listed_but_unreached"]:
             typer.echo(f"listed by the platform but not reached: {name}")
         columns = ["instance", "state", "data centre", "rules", "current", "store", "owns"]
-        tables.show("Instances", columns, (_instance_row(each) for each in response["instances"]))
+        tables.show(
+            "Instances", columns, (_instance_row(instance) for instance in response["instances"])
+        )
         if targets:
             columns = ["target", "owner", "in flight", "limit", "slots", "latency ms", "state"]
             tables.show("Targets", columns, _target_rows(response["instances"]))
@@ -343,10 +347,8 @@
                 state = target["leaving"] and f"leaving ({target['leaving']})"
                 state = state or ("ejected" if target["ejected"] else "")
                 state = state or ("suspected" if target["suspected"] else "in use")
-                load_figures = [
-                    target[key] for key in ("in_flight", "limit", "slots", "latency_ms")
-                ]
-                yield [target["target"], instance["instance"], *load_figures, state]
+                load_values = [target[key] for key in ("in_flight", "limit", "slots", "latency_ms")]
+                yield [target["target"], instance["instance"], *load_values, state]
 
 
 @application.command()
@@ -364,13 +366,13 @@
 ]
 
 
-def _read_decisions(logs: list[pathlib.Path] | None) -> list[trace_module.Line]:
-    texts: list[str] = []
+def _read_decision_lines(logs: list[pathlib.Path] | None) -> list[trace_module.Line]:
+    log_lines: list[str] = []
     for path in logs or []:
-        texts += _read_text(path).splitlines()
+        log_lines += _read_text(path).splitlines()
     if not logs:
-        texts = sys.stdin.read().splitlines()
-    return trace_module.parse(texts)
+        log_lines = sys.stdin.read().splitlines()
+    return trace_module.parse(log_lines)
 
 
 @application.command("trace")
@@ -379,15 +381,15 @@
     logs: LogFiles = None,
 ) -> None:
     """Show how a request ended and why, from the decision logs of all instances."""
-    result = trace_module.trace(_read_decisions(logs), request)
-    for line in trace_module.describe(result):
-        typer.echo(line)
+    result = trace_module.trace(_read_decision_lines(logs), request)
+    for text in trace_module.describe(result):
+        typer.echo(text)
     if not result.lines:
         raise typer.Exit(EXIT_NOT_FOUND)
 
 
 @application.command("losses")
-def tell_losses(
+def show_losses(
     logs: LogFiles = None,
     every_s: typing.Annotated[
         float, typer.Option("--every-s", min=0.1, help="Length of a time interval in seconds.")
@@ -396,10 +398,10 @@
         pathlib.Path | None, typer.Option(help="Also plot the losses over time into this file.")
     ] = None,
 ) -> None:
-    """Show which requests missed their goal or were lost, when and why."""
-    result = losses.losses(_read_decisions(logs))
-    for line in losses.describe(result, every_s):
-        typer.echo(line)
+    """Show which requests missed their latency goal or were lost, when and why."""
+    result = losses.losses(_read_decision_lines(logs))
+    for text in losses.describe(result, every_s):
+        typer.echo(text)
     if plot is not None:
         from turmericlug.operators import loss_plot  # slow import (0.5 s), needed only here
 
--- a/src/turmericlug/operators/entry_commands.py
+++ b/src/turmericlug/operators/entry_commands.py
@@ -26,12 +26,12 @@
 
 
 def _print_status(response: Json) -> None:
-    state = "ready" if response["ready"] else "NOT ready"
-    typer.echo(f"{response['instance']}: {state}, {_format_configuration(response)}")
+    readiness = "ready" if response["ready"] else "NOT ready"
+    typer.echo(f"{response['instance']}: {readiness}, {_format_configuration(response)}")
     typer.echo(f"instances: {', '.join(response['instances'])}")
-    for title in ("replicas", "connections"):
-        summary = ", ".join(f"{count} {kind}" for kind, count in response[title].items())
-        typer.echo(f"{title}: {summary or 'none'}")
+    for field in ("replicas", "connections"):
+        summary = ", ".join(f"{count} {kind}" for kind, count in response[field].items())
+        typer.echo(f"{field}: {summary or 'none'}")
     for data_centre, age_s in response["evacuated_age_s"].items():
         typer.echo(f"evacuated: {data_centre}, for {age_s} s")
     if response["cold_left_s"]:
@@ -71,7 +71,9 @@
     typer.echo(f"route {route['name']}, prefix {route['prefix']}: {summary}")
     columns = ["service", "replica", "data centre", "state", "sends", "expected ms"]
     keys = ("service", "replica", "data_centre", "state", "sends", "expected_ms")
-    tables.show("Replicas", columns, ([each[key] for key in keys] for each in response["replicas"]))
+    tables.show(
+        "Replicas", columns, ([replica[key] for key in keys] for replica in response["replicas"])
+    )
 
 
 @commands.command()
@@ -87,11 +89,11 @@
         return
     rows = (
         [
-            each["content"],
-            each["verdict"],
-            ", ".join(f"{name} {age_s} s ago" for name, age_s in each["ends"].items()),
+            request["content"],
+            request["verdict"],
+            ", ".join(f"{replica} {age_s} s ago" for replica, age_s in request["ends"].items()),
         ]
-        for each in response["requests"]
+        for request in response["requests"]
     )
     tables.show("Requests", ["content", "verdict", "replicas that ended"], rows)
 
--- a/src/turmericlug/operators/http.py
+++ b/src/turmericlug/operators/http.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface: rules, catalogue, status, drain; authenticated by a token."""
+"""The operators' HTTP interface to rules, catalogue, status and drain, protected by a token."""
 
 from __future__ import annotations
 
@@ -63,15 +63,15 @@
             client_max_size=_MAX_BODY_BYTES, middlewares=[self._authenticate]
         )
         router = application.router
-        router.add_get("/v1/rules", self._list)
-        router.add_post("/v1/rules/check", self._check)
-        router.add_post("/v1/rules/edit", self._edit)
-        router.add_post("/v1/rules/confirm", self._confirm)
-        router.add_post("/v1/rules/explain", self._explain)
-        router.add_get("/v1/rules/history", self._history)
+        router.add_get("/v1/rules", self._list_rules)
+        router.add_post("/v1/rules/check", self._check_rules)
+        router.add_post("/v1/rules/edit", self._edit_rules)
+        router.add_post("/v1/rules/confirm", self._confirm_rules)
+        router.add_post("/v1/rules/explain", self._explain_rules)
+        router.add_get("/v1/rules/history", self._list_edits)
         router.add_get("/v1/catalog", self._get_catalog)
         router.add_put("/v1/catalog", self._put_catalog)
-        router.add_get("/v1/status", self._status)
+        router.add_get("/v1/status", self._get_status)
         router.add_post("/v1/drain", self._start_drain)
         return application
 
@@ -94,21 +94,21 @@
         except repository_module.RepositoryError as error:
             return _error_response(503, f"the store does not answer ({error}); try again")
 
-    async def _list(self, request: web.Request) -> web.Response:
-        document = self._config.rules
-        rules = [model.rule_to_dict(rule) for rule in document.rules]
-        return web.json_response({"revision": document.revision, "rules": rules})
+    async def _list_rules(self, request: web.Request) -> web.Response:
+        rules_document = self._config.rules
+        rules = [model.rule_to_dict(rule) for rule in rules_document.rules]
+        return web.json_response({"revision": rules_document.revision, "rules": rules})
 
-    async def _check(self, request: web.Request) -> web.Response:
+    async def _check_rules(self, request: web.Request) -> web.Response:
         text = _string_field(await _read_json_object(request), "text")
         rules = _parse_rules(text)
-        document = [
+        unchanged_rules = [
             rule for rule in self._config.rules.rules if rule.name not in _rule_names(rules)
         ]
-        self._check_order([*document, *rules], text)
+        self._check_reachability([*unchanged_rules, *rules], text)
         return web.json_response({"valid": True, "rules": [rule.name for rule in rules]})
 
-    def _check_order(self, rules: list[model.Rule], text: str) -> None:
+    def _check_reachability(self, rules: list[model.Rule], text: str) -> None:
         try:
             parser_module.check_reachability(
                 rules, self._config.catalog, parser_module.line_numbers(text)
@@ -116,7 +116,7 @@
         except parser_module.RulesError as error:
             raise _BadRequestError(str(error).splitlines()) from error
 
-    async def _edit(self, request: web.Request) -> web.Response:
+    async def _edit_rules(self, request: web.Request) -> web.Response:
         body = await _read_json_object(request)
         change = _parse_change(body)
         outcome = await self._repository.edit(change)
@@ -141,8 +141,8 @@
                     status=409,
                 )
             case repository_module.Rejected(problems=problems):
-                lines = parser_module.line_numbers(str(body.get("text", "")))
-                problems = [_add_line_number(problem, lines) for problem in problems]
+                line_numbers = parser_module.line_numbers(str(body.get("text", "")))
+                problems = [_add_line_number(problem, line_numbers) for problem in problems]
                 return web.json_response(
                     {"outcome": "rejected", "edit": change.edit, "problems": problems}, status=422
                 )
@@ -163,27 +163,28 @@
         """
         Report a stored document as accepted, or name the instances where it is not yet in force.
 
-        This instance counts like any other: if the store fails between the write and the next
-        read, it still answers callers by the older revision.
+        This instance can be among them: if the store fails between the write and the next read, it
+        still answers callers by the older revision.
 
+        :param document: name of the document
         :param fields: additional fields of the response
         """
         await self._distribution.refresh()
-        waiting = await self._distribution.distribute({document})
-        held = self._config.freshness.held
-        if (held.rules if document == configuration.RULES else held.catalog) < revision:
-            waiting = [*waiting, self._settings.instance.name]
+        waiting_for = await self._distribution.distribute({document})
+        in_force = self._config.freshness.held
+        if (in_force.rules if document == configuration.RULES else in_force.catalog) < revision:
+            waiting_for = [*waiting_for, self._settings.instance.name]
         return web.json_response(
             {
-                "outcome": "stored" if waiting else "accepted",
+                "outcome": "stored" if waiting_for else "accepted",
                 "revision": revision,
-                "waiting_for": waiting,
+                "waiting_for": waiting_for,
             }
             | fields,
-            status=202 if waiting else 200,
+            status=202 if waiting_for else 200,
         )
 
-    async def _confirm(self, request: web.Request) -> web.Response:
+    async def _confirm_rules(self, request: web.Request) -> web.Response:
         """Check again whether the stored rules are in force everywhere."""
         if not await self._distribution.refresh():
             raise repository_module.RepositoryError("unreachable")
@@ -191,34 +192,37 @@
             configuration.RULES, self._config.rules.revision, edit=""
         )
 
-    async def _explain(self, request: web.Request) -> web.Response:
+    async def _explain_rules(self, request: web.Request) -> web.Response:
         body = await _read_json_object(request)
         rule_request = model.Request(
             service=str(body.get("service", "")),
             caller=str(body.get("caller", "")),
             data_centre=str(body.get("data_centre", "")),
             priority=int(body.get("priority", model.DEFAULT_PRIORITY)),
-            headers={str(k).lower(): str(v) for k, v in dict(body.get("headers", {})).items()},
+            headers={
+                str(name).lower(): str(value)
+                for name, value in dict(body.get("headers", {})).items()
+            },
         )
-        document = self._config.rules
+        rules_document = self._config.rules
         steps = [
-            {"rule": name, "matches": not reason, "because": reason}
-            for name, reason in document.explain(rule_request)
+            {"rule": rule, "matches": not mismatch, "because": mismatch}
+            for rule, mismatch in rules_document.explain(rule_request)
         ]
-        treatment = attrs.asdict(document.match(rule_request))
+        treatment = attrs.asdict(rules_document.match(rule_request))
         return web.json_response(
-            {"revision": document.revision, "steps": steps, "treatment": treatment}
+            {"revision": rules_document.revision, "steps": steps, "treatment": treatment}
         )
 
-    async def _history(self, request: web.Request) -> web.Response:
+    async def _list_edits(self, request: web.Request) -> web.Response:
         limit = int(request.query.get("limit", "20"))
         return web.json_response({"edits": await self._repository.history(limit)})
 
     async def _get_catalog(self, request: web.Request) -> web.Response:
-        texts = {text.name: text for text in self._config.documents()}
-        text = texts.get(configuration.CATALOG)
-        revision = text.revision if text else 0
-        catalog = json.loads(text.text) if text else {}
+        documents = {document.name: document for document in self._config.documents()}
+        document = documents.get(configuration.CATALOG)
+        revision = document.revision if document else 0
+        catalog = json.loads(document.text) if document else {}
         return web.json_response({"revision": revision, "catalog": catalog})
 
     async def _put_catalog(self, request: web.Request) -> web.Response:
@@ -235,10 +239,10 @@
         self._drain()
         return web.json_response({"outcome": "draining"}, status=202)
 
-    async def _status(self, request: web.Request) -> web.Response:
+    async def _get_status(self, request: web.Request) -> web.Response:
         members = self._detector.members
         peers = [] if "own" in request.query else members.peers()
-        peer_statuses = await asyncio.gather(*(self._fetch_status(each) for each in peers))
+        peer_statuses = await asyncio.gather(*(self._fetch_status(peer) for peer in peers))
         instances = [self.own_status(), *peer_statuses]
         return web.json_response(
             {
@@ -248,14 +252,18 @@
                 "instances": instances,
                 "listed_but_unreached": sorted(
                     set(self._detector.listed)
-                    - {each["instance"] for each in instances if each.get("reached", True)}
+                    - {
+                        instance["instance"]
+                        for instance in instances
+                        if instance.get("reached", True)
+                    }
                 ),
             }
         )
 
-    async def _fetch_status(self, member: typing.Any) -> dict[str, typing.Any]:
-        not_reached = {"instance": member.instance, "state": member.state, "reached": False}
-        link = self._detector.mesh.link(member.instance)
+    async def _fetch_status(self, peer: typing.Any) -> dict[str, typing.Any]:
+        not_reached = {"instance": peer.instance, "state": peer.state, "reached": False}
+        link = self._detector.mesh.link(peer.instance)
         if link is None:
             return not_reached
         try:
@@ -274,7 +282,7 @@
             "state": own.state,
             "ready": own.ready,
             "members": {
-                name: each.state for name, each in self._detector.members.by_instance.items()
+                name: member.state for name, member in self._detector.members.by_instance.items()
             },
             "reached": True,
             "data_centre": own.data_centre,
@@ -290,16 +298,16 @@
                     "queued": queue.queued(),
                     "targets": [
                         {
-                            "target": each.instance,
-                            "in_flight": each.in_flight,
-                            "limit": round(each.limit, 2),
-                            "slots": each.max_limit,
-                            "latency_ms": round(each.latency_ms, 2),
-                            "leaving": each.leaving,
-                            "ejected": bool(each.ejections),
-                            "suspected": each.suspected,
+                            "target": target.instance,
+                            "in_flight": target.in_flight,
+                            "limit": round(target.limit, 2),
+                            "slots": target.max_limit,
+                            "latency_ms": round(target.latency_ms, 2),
+                            "leaving": target.leaving,
+                            "ejected": bool(target.ejections),
+                            "suspected": target.suspected,
                         }
-                        for each in queue.replicas.values()
+                        for target in queue.replicas.values()
                     ],
                 }
                 for name, queue in sorted(self._owner.queues.items())
@@ -330,10 +338,10 @@
     return web.json_response({"outcome": "rejected", "problems": list(problems)}, status=status)
 
 
-def _add_line_number(problem: str, lines: dict[str, int]) -> str:
-    """Prefix a problem with the line number of the rule that it begins with."""
-    line = lines.get(problem.partition(":")[0])
-    return f"line {line}: {problem}" if line else problem
+def _add_line_number(problem: str, line_numbers: dict[str, int]) -> str:
+    """Prefix a problem with its rule's line number; a problem begins with the rule's name."""
+    line_number = line_numbers.get(problem.partition(":")[0])
+    return f"line {line_number}: {problem}" if line_number else problem
 
 
 async def _read_json_object(request: web.Request) -> dict[str, typing.Any]:
--- a/src/turmericlug/operators/loss_plot.py
+++ b/src/turmericlug/operators/loss_plot.py
@@ -1,4 +1,4 @@
-"""Plot of losses over time. Imported only on demand: importing matplotlib takes half a second."""
+"""Plot of losses over time, imported only on demand: importing matplotlib takes half a second."""
 
 from __future__ import annotations
 
@@ -21,23 +21,21 @@
 
     :param path: the output file; its suffix selects the format
     """
-    table = result.by_time(interval_s)
+    counts_by_time = result.by_time(interval_s)
     figure, axes = pyplot.subplots(figsize=(10, 4))
-    bottoms = [0] * len(table)
+    bottoms = [0] * len(counts_by_time)
     for outcome, color in zip(losses.OUTCOMES, _COLORS, strict=True):
-        counts = [each[outcome] for each in table.values()]
+        heights = [counts[outcome] for counts in counts_by_time.values()]
         axes.bar(
-            list(table),
-            counts,
+            list(counts_by_time),
+            heights,
             width=0.9 * interval_s,
             align="edge",
             bottom=bottoms,
             color=color,
             label=outcome,
         )
-        bottoms = [
-            bottom_count + count for bottom_count, count in zip(bottoms, counts, strict=True)
-        ]
+        bottoms = [bottom + height for bottom, height in zip(bottoms, heights, strict=True)]
     axes.set_xlabel("seconds since the first ending")
     axes.set_ylabel(f"requests in {interval_s:g} s")
     axes.legend(loc="upper center", ncols=len(losses.OUTCOMES), fontsize="x-small")
--- a/src/turmericlug/operators/losses.py
+++ b/src/turmericlug/operators/losses.py
@@ -1,4 +1,4 @@
-"""Which requests missed their latency goal or were lost: by route, by time and by cause."""
+"""Count the requests that missed their latency goal or were lost, by route, time and cause."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 """A partial answer within the latency goal is ``PARTIAL``; one after the goal is ``LATE``."""
 
 _SHARD_CAUSE = re.compile(r"(?:^|; |: )[^:;()]+: ([^:;()]+?)(?::[^;(]*)? \(")
-"""The cause of each missing shard in a reason: ``s1: shed (i-1 ended 3+0 ms); s2: ...``."""
+"""Finds the cause per missing shard in a reason like ``s1: shed (i-1 ended 3+0 ms); s2: ...``."""
 
 
 @attrs.frozen
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class Losses:
-    """All endings found in the decision logs."""
+    """How all requests in the decision logs ended, including those that were not lost."""
 
     endings: tuple[Ending, ...]
     unlogged: int
@@ -53,19 +53,19 @@
         """Count the outcomes by time interval, starting at the first ending."""
         if not self.endings:
             return {}
-        first_s = self.endings[0].at_s
+        first_ending_s = self.endings[0].at_s
 
         def interval_start_s(ending: Ending) -> float:
-            return (ending.at_s - first_s) // interval_s * interval_s
+            return (ending.at_s - first_ending_s) // interval_s * interval_s
 
         return _count_outcomes(self.endings, interval_start_s)
 
     def causes(self) -> collections.Counter[tuple[str, str, str]]:
         """Count (route, outcome, cause) of the requests not answered in full and in time."""
         return collections.Counter(
-            (each.route, each.outcome, each.cause)
-            for each in self.endings
-            if each.outcome != IN_TIME
+            (ending.route, ending.outcome, ending.cause)
+            for ending in self.endings
+            if ending.outcome != IN_TIME
         )
 
 
@@ -99,7 +99,7 @@
         endings.append(ending)
         ended_requests.add(line.get("request"))
         unlogged += line.get("left_out_before", 0)
-    endings += _find_cut_off(lines, ended_requests)
+    endings += _find_cut_off_requests(lines, ended_requests)
     return Losses(tuple(sorted(endings, key=lambda ending: ending.at_s)), unlogged)
 
 
@@ -133,50 +133,52 @@
 
 
 def cause_of(reason: str) -> str:
-    """Return the most frequent cause among a reason's shards, or else its text up to a colon."""
-    shards = collections.Counter(each.strip() for each in _SHARD_CAUSE.findall(reason))
-    if shards:
-        return shards.most_common(1)[0][0]
+    """Return the most frequent cause of a reason's shards; without any, its text up to a colon."""
+    shard_causes = collections.Counter(cause.strip() for cause in _SHARD_CAUSE.findall(reason))
+    if shard_causes:
+        return shard_causes.most_common(1)[0][0]
     return reason.partition(":")[0]
 
 
-def _find_cut_off(
+def _find_cut_off_requests(
     lines: abc.Sequence[trace.Line], ended_requests: abc.Container[str]
 ) -> abc.Iterator[Ending]:
     """
     Find the requests that an instance had in flight when its process was lost.
 
-    The endings of answered requests may be suppressed in the log. A request without an ending
-    therefore counts only if its deadline had not passed at the last line before a start that no
-    stop precedes.
+    The log may suppress the endings of answered requests. A request without an ending therefore
+    counts only if its instance restarted without logging a stop, and the request's deadline had not
+    passed at the last line before the restart.
     """
     by_instance: dict[str, list[trace.Line]] = collections.defaultdict(list)
     for line in lines:
         by_instance[line["instance"]].append(line)
     for instance_lines in by_instance.values():
-        starts = [
-            n for n, line in enumerate(instance_lines) if line["event"] == "instance.starting"
+        start_indexes = [
+            index
+            for index, line in enumerate(instance_lines)
+            if line["event"] == "instance.starting"
         ]
-        for begin, end in itertools.pairwise([0, *starts]):
-            process_lines = instance_lines[begin:end]
+        for first, next_start in itertools.pairwise([0, *start_indexes]):
+            process_lines = instance_lines[first:next_start]
             if not process_lines or process_lines[-1]["event"] == "instance.stopped":
                 continue
-            last_s = process_lines[-1]["time_s"]
+            last_line_s = process_lines[-1]["time_s"]
             for line in process_lines:
                 if line["event"] != "query.routed" or line["request"] in ended_requests:
                     continue
-                if line["time_s"] + line["left_ms"] / 1000 >= last_s:
+                if line["time_s"] + line["left_ms"] / 1000 >= last_line_s:
                     yield Ending(line["time_s"], line["route"], CUT, "its instance was lost")
 
 
 def describe(result: Losses, interval_s: float, max_causes: int = 20) -> abc.Iterator[str]:
     """Format the losses as text: by route, by time, then the most frequent causes."""
     for title, table in (("route", result.by_route()), ("second", result.by_time(interval_s))):
-        yield f"{title:24}" + "".join(f"{each:>12}" for each in ("asked", *OUTCOMES))
+        yield f"{title:24}" + "".join(f"{column:>12}" for column in ("asked", *OUTCOMES))
         for key, counts in table.items():
             label = key if isinstance(key, str) else f"{key:.1f}"
-            numbers = [counts.total(), *(counts[each] for each in OUTCOMES)]
-            yield f"{label:24}" + "".join(f"{number:12}" for number in numbers)
+            cells = [counts.total(), *(counts[outcome] for outcome in OUTCOMES)]
+            yield f"{label:24}" + "".join(f"{cell:12}" for cell in cells)
         yield ""
     for (route, outcome, cause), count in result.causes().most_common(max_causes):
         yield f"{count:6}  {route:20} {outcome:12} {cause}"
--- a/tests/operators/test_http.py
+++ b/tests/operators/test_http.py
@@ -35,21 +35,25 @@
 
 
 @pytest.mark.parametrize(
-    ("held", "outcome", "waiting_for"), [(6, "stored", ["own"]), (7, "accepted", [])]
+    ("catalog_revision", "outcome", "waiting_for"), [(6, "stored", ["own"]), (7, "accepted", [])]
 )
-def test_a_catalogue_is_accepted_only_once_in_force_on_this_instance(held, outcome, waiting_for):
+def test_a_catalogue_is_accepted_only_once_in_force_on_this_instance(
+    catalog_revision, outcome, waiting_for
+):
     """
     Guards against reporting "accepted" too early: the store accepts a catalogue, then fails before
-    the writing instance has read it back, so that instance still answers by the older catalogue.
+    the instance that wrote it has read it back, so this instance still uses the older catalogue.
     """
-    current = types.SimpleNamespace(held=freshness.Revisions(rules=1, catalog=held))
-    operators = http.OperatorsHttp.__new__(http.OperatorsHttp)
-    operators._config = types.SimpleNamespace(freshness=current)
-    operators._distribution = Distribution()
-    operators._repository = Repository()
-    operators._counters = counters.Counters()
-    operators._settings = types.SimpleNamespace(instance=types.SimpleNamespace(name="own"))
-    response = asyncio.run(operators._put_catalog(Request()))
+    instance_freshness = types.SimpleNamespace(
+        held=freshness.Revisions(rules=1, catalog=catalog_revision)
+    )
+    handlers = http.OperatorsHttp.__new__(http.OperatorsHttp)
+    handlers._config = types.SimpleNamespace(freshness=instance_freshness)
+    handlers._distribution = Distribution()
+    handlers._repository = Repository()
+    handlers._counters = counters.Counters()
+    handlers._settings = types.SimpleNamespace(instance=types.SimpleNamespace(name="own"))
+    response = asyncio.run(handlers._put_catalog(Request()))
     body = json.loads(response.text)
     assert (body["outcome"], body["waiting_for"]) == (outcome, waiting_for)
     assert body["revision"] == 7
--- a/tests/operators/test_losses.py
+++ b/tests/operators/test_losses.py
@@ -20,11 +20,13 @@
 
 
 def answered(duration_ms, event="query.answered", repeats=0, reason=None, **fields):
-    values = {"route": "r", "goal_ms": 100.0, "duration_ms": duration_ms, "repeats": repeats}
-    return line(event, reason=reason, **values | fields)
+    defaults = {"route": "r", "goal_ms": 100.0, "duration_ms": duration_ms, "repeats": repeats}
+    return line(event, reason=reason, **defaults | fields)
 
 
-MISSING = "s1: not in time (i-1 open 200+0 ms); s2: shed (not sent); s3: shed (i-3 ended 1+0 ms)"
+SHARD_FAILURES = (
+    "s1: not in time (i-1 open 200+0 ms); s2: shed (not sent); s3: shed (i-3 ended 1+0 ms)"
+)
 
 
 @pytest.mark.parametrize(
@@ -34,10 +36,13 @@
         ([answered(101.0)], losses.LATE, "slow part"),
         ([answered(101.0, repeats=1)], losses.LATE, "retried"),
         ([line("query.waited"), answered(101.0)], losses.LATE, "queued during slow start"),
-        ([answered(90.0, "query.partial", reason=MISSING)], losses.PARTIAL, "shed"),
-        ([answered(190.0, "query.partial", reason=MISSING)], losses.LATE, "slow part"),
+        ([answered(90.0, "query.partial", reason=SHARD_FAILURES)], losses.PARTIAL, "shed"),
+        ([answered(190.0, "query.partial", reason=SHARD_FAILURES)], losses.LATE, "slow part"),
         (
-            [routed(), line("query.failed", reason=f"too few shards (3 missing): {MISSING}")],
+            [
+                routed(),
+                line("query.failed", reason=f"too few shards (3 missing): {SHARD_FAILURES}"),
+            ],
             losses.FAILED,
             "shed",
         ),
@@ -62,8 +67,8 @@
 )
 def test_each_ending_has_an_outcome_and_a_cause(lines, outcome, cause):
     """
-    Answers were late for a period, and the operator has only the logs of 200 instances. One table
-    must show how many requests were affected, when, and for which cause.
+    After a period of late answers, the operator has only the logs of 200 instances: they must show
+    how many requests were affected, when, and for which cause.
     """
     (ending,) = losses.losses(lines).endings
     assert ending.outcome == outcome
@@ -82,7 +87,7 @@
     ids=["deadline passed before", "planned stop", "still running"],
 )
 def test_a_missing_ending_alone_is_not_cut_off(lines):
-    """The log may suppress endings of answered requests: a missing ending alone is no loss."""
+    """The log may suppress endings of answered requests, so a missing one alone is not a loss."""
     assert losses.losses(lines).endings == ()
 
 
@@ -109,7 +114,7 @@
 
 def test_the_losses_command_prints_and_plots(tmp_path):
     log, plot = tmp_path / "a.log", tmp_path / "losses.png"
-    log.write_text("".join(f"  1.0 a {json.dumps(each)}\n" for each in LINES))
+    log.write_text("".join(f"  1.0 a {json.dumps(log_line)}\n" for log_line in LINES))
     result = testing.CliRunner().invoke(
         client.application, ["losses", str(log), "--every-s", "1", "--plot", str(plot)]
     )
--- a/tests/operators/test_trace.py
+++ b/tests/operators/test_trace.py
@@ -11,8 +11,8 @@
 from turmericlug.operators import trace
 
 START = {"time_s": 1.0, "instance": "a", "event": "instance.starting"}
-VERSION = {"time_s": 2.0, "instance": "a", "event": "view.configuration", "version": 7}
-LOST = {"time_s": 3.0, "instance": "a", "event": "source.lost", "reason": "timeout"}
+CONFIGURATION = {"time_s": 2.0, "instance": "a", "event": "view.configuration", "version": 7}
+STORE_LOST = {"time_s": 3.0, "instance": "a", "event": "source.lost", "reason": "timeout"}
 ROUTED = {"time_s": 4.0, "instance": "a", "event": "query.routed", "request": "q"}
 
 
@@ -52,18 +52,20 @@
             "a stopped with the request in flight",
         ),
         ([ROUTED], "cut", "a was lost: it logged nothing after this line"),
-        ([ROUTED, LOST | {"time_s": 9.0}], "open", "no ending was logged"),
+        ([ROUTED, STORE_LOST | {"time_s": 9.0}], "open", "no ending was logged"),
         ([], "unknown", "no log line names it"),
     ],
 )
 def test_trace_determines_outcome_and_cause(lines, outcome, cause):
-    result = trace.trace([START, VERSION, LOST, *lines], "q")
+    result = trace.trace([START, CONFIGURATION, STORE_LOST, *lines], "q")
     assert result.outcome == outcome
     assert result.cause.startswith(cause)
 
 
 def test_known_state_is_shown_with_its_age():
-    result = trace.trace([START, VERSION, LOST, ROUTED, line("query.failed", reason="x")], "q")
+    result = trace.trace(
+        [START, CONFIGURATION, STORE_LOST, ROUTED, line("query.failed", reason="x")], "q"
+    )
     assert result.known_state == (
         "configuration version 7, known for 3.000 s",
         "store unreachable for 2.000 s",
@@ -71,16 +73,18 @@
 
 
 def test_truncated_lines_and_prefixes_are_ignored():
-    texts = ["  1.5 a " + json.dumps(ROUTED), json.dumps(LOST)[:20], "", "no json"]
-    assert trace.parse(texts) == [ROUTED]
+    log_lines = ["  1.5 a " + json.dumps(ROUTED), json.dumps(STORE_LOST)[:20], "", "no json"]
+    assert trace.parse(log_lines) == [ROUTED]
 
 
-@pytest.mark.parametrize(("request_id", "code"), [("q", 0), ("other", client.EXIT_NOT_FOUND)])
-def test_the_trace_command(tmp_path, request_id, code):
+@pytest.mark.parametrize(("request_id", "exit_code"), [("q", 0), ("other", client.EXIT_NOT_FOUND)])
+def test_the_trace_command(tmp_path, request_id, exit_code):
     path = tmp_path / "a.log"
     path.write_text(
-        "\n".join(json.dumps(each) for each in (VERSION, ROUTED, line("query.answered")))
+        "\n".join(
+            json.dumps(log_line) for log_line in (CONFIGURATION, ROUTED, line("query.answered"))
+        )
     )
     result = testing.CliRunner().invoke(client.application, ["trace", request_id, str(path)])
-    assert result.exit_code == code
-    assert ("outcome: answered" in result.output) == (code == 0)
+    assert result.exit_code == exit_code
+    assert ("outcome: answered" in result.output) == (exit_code == 0)
