--- a/src/turmericlug/telemetry/counters.py
+++ b/src/turmericlug/telemetry/counters.py
@@ -9,10 +9,10 @@
 
 _MAX_US = 60_000_000
 
-# Every metric emitted by the daemon and the entry instances, with its description.
-# docs/reference-metrics.md lists the same names, and a test compares the two. A trailing ".*"
-# stands for the reasons or operations that follow.
-NAMES: dict[str, str] = {
+# Every metric of the daemon and the entry instances, with its description. A trailing ".*" stands
+# for a reason, an operation or the like. docs/reference-metrics.md lists the same names, which a
+# test checks.
+DESCRIPTIONS: dict[str, str] = {
     "query.complete": "answers with every shard",
     "query.partial": "answers with shards missing",
     "query.refused.*": "queries refused and not run, by reason",
@@ -110,7 +110,7 @@
 
 
 class Counters:
-    """Totals since the start, also sent to statsd if a port is given."""
+    """Counters, timers and gauges since the start, also sent to statsd if a port is given."""
 
     def __init__(self, host: str = "", port: int = 0, prefix: str = "") -> None:
         self.totals: collections.Counter[str] = collections.Counter()
--- a/src/turmericlug/telemetry/decisions.py
+++ b/src/turmericlug/telemetry/decisions.py
@@ -2,8 +2,8 @@
 The decision log: one JSON object per line on standard output, rate-limited and non-blocking.
 
 absl.logging writes each record immediately and blocks on a full pipe, so a stalled reader would
-block every query. This module collects lines in a bounded buffer, writes them in batches, and drops
-and counts lines when the reader does not keep up.
+block every query. This module collects lines in a bounded buffer and writes them in batches. When
+the reader does not keep up, lines are dropped and counted.
 """
 
 from __future__ import annotations
@@ -17,14 +17,13 @@
 import typing
 
 EVENT_LIMITS_PER_S = {"query.routed": 50, "query.answered": 20, "send.hedged": 20}
-"""Lines per second for events of served queries; the first ones in a second are a sample."""
+"""Lines per second for events of served queries: the first ones of each second, as a sample."""
 DEFAULT_LIMIT_PER_S = 100
 """Lines per second for any other event; refusals and failures have priority over served queries."""
 MAX_BUFFER_BYTES = 256 * 1024
 """About one second of lines when all events reach their limit."""
 FLUSH_DELAY_S = 0.1
-"""Time for which lines are collected for one write call; a call per line cost more than the line
-itself."""
+"""How long lines are collected for one write call; a call per line cost more than the line."""
 
 
 class Writer:
@@ -34,10 +33,10 @@
         self._descriptor = descriptor
         self._instance = instance
         self._lines: collections.deque[bytes] = collections.deque()
-        self._size = 0
+        self._buffered_bytes = 0
         self._second = 0
         self._counts: collections.Counter[str] = collections.Counter()
-        self._timer: asyncio.TimerHandle | None = None
+        self._flush_timer: asyncio.TimerHandle | None = None
         self.suppressed: collections.Counter[str] = collections.Counter()
         self.dropped = 0
 
@@ -53,47 +52,47 @@
             return
         if self.suppressed[event]:
             fields["left_out_before"] = self.suppressed.pop(event)
-        head = {"time_s": round(now_s, 4), "instance": self._instance, "event": event}
-        line = json.dumps(head | fields, default=_to_text, separators=(",", ":")).encode() + b"\n"
-        if self._size + len(line) > MAX_BUFFER_BYTES:
+        header = {"time_s": round(now_s, 4), "instance": self._instance, "event": event}
+        line = json.dumps(header | fields, default=_to_text, separators=(",", ":")).encode() + b"\n"
+        if self._buffered_bytes + len(line) > MAX_BUFFER_BYTES:
             self.dropped += 1
             return
         self._lines.append(line)
-        self._size += len(line)
+        self._buffered_bytes += len(line)
         self._schedule_flush()
 
     def _schedule_flush(self) -> None:
-        if self._timer is not None:
+        if self._flush_timer is not None:
             return
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             self.flush()
             return
-        self._timer = loop.call_later(FLUSH_DELAY_S, self.flush)
+        self._flush_timer = loop.call_later(FLUSH_DELAY_S, self.flush)
 
     def flush(self) -> None:
         """Write as much as the descriptor accepts; the rest stays buffered."""
-        self._timer = None
+        self._flush_timer = None
         if not self._lines:
             return
         data = b"".join(self._lines)
         self._lines.clear()
-        self._size = 0
+        self._buffered_bytes = 0
         try:
             written = os.write(self._descriptor, data)
         except BlockingIOError:
             written = 0
         except OSError:
-            # Typically the reader has closed the pipe; there is nowhere to report the error.
+            # Usually the reader has closed the pipe, and there is nowhere else to report the error.
             self.dropped += data.count(b"\n")
             return
         if written < len(data):
             self._requeue(data[written:])
 
-    def _requeue(self, rest: bytes) -> None:
-        self._lines.appendleft(rest)
-        self._size = len(rest)
+    def _requeue(self, unwritten: bytes) -> None:
+        self._lines.appendleft(unwritten)
+        self._buffered_bytes = len(unwritten)
         self._schedule_flush()
 
 
@@ -125,6 +124,6 @@
 
 
 def flush() -> None:
-    """Write buffered lines, before the process exits."""
+    """Write the buffered lines; called before the process exits."""
     if _writer is not None:
         _writer.flush()
--- a/tests/telemetry/test_counters.py
+++ b/tests/telemetry/test_counters.py
@@ -7,33 +7,33 @@
 from turmericlug.telemetry import counters
 
 ROOT = pathlib.Path(__file__).parents[2]
-USE = re.compile(r"(?:add|time_ms|gauge)\(\s*f?\"([^\"]+)\"")
-TOTALS = re.compile(r"totals\[\"([^\"]+)\"\]")
+RECORDED_NAME = re.compile(r"(?:add|time_ms|gauge)\(\s*f?\"([^\"]+)\"")
+TOTALS_KEY = re.compile(r"totals\[\"([^\"]+)\"\]")
 
 
-def used():
+def recorded_names():
     names = set()
     for path in (ROOT / "src" / "turmericlug").rglob("*.py"):
         text = path.read_text()
-        names |= {re.sub(r"\{.*", "*", name) for name in USE.findall(text)}
-        names |= set(TOTALS.findall(text))
-    # Without a dot, the match is not a metric name: add() and gauge() have other uses, too.
+        names |= {re.sub(r"\{.*", "*", name) for name in RECORDED_NAME.findall(text)}
+        names |= set(TOTALS_KEY.findall(text))
+    # A match without a dot is not a metric: other classes have methods called add and gauge, too.
     return {name for name in names if "." in name}
 
 
 def test_every_metric_is_in_the_list_of_names():
-    wildcards = {name[:-1] for name in counters.NAMES if name.endswith("*")}
-    for name in used():
-        known = name in counters.NAMES or any(
-            name.startswith(each) or each.startswith(name.rstrip("*")) for each in wildcards
+    prefixes = {name[:-1] for name in counters.DESCRIPTIONS if name.endswith("*")}
+    for name in recorded_names():
+        described = name in counters.DESCRIPTIONS or any(
+            name.startswith(prefix) or prefix.startswith(name.rstrip("*")) for prefix in prefixes
         )
-        assert known, f"{name} is not in counters.NAMES"
+        assert described, f"{name} is not in counters.DESCRIPTIONS"
 
 
 def test_reference_page_lists_every_metric():
     text = (ROOT / "docs" / "reference-metrics.md").read_text()
     listed = set(re.findall(r"^\| `([a-z_.*]+)` \|", text, re.MULTILINE))
-    assert listed == set(counters.NAMES)
+    assert listed == set(counters.DESCRIPTIONS)
 
 
 def test_metrics_are_sent_to_statsd():
--- a/tests/telemetry/test_events.py
+++ b/tests/telemetry/test_events.py
@@ -24,5 +24,5 @@
     record = logging.LogRecord("x", logging.INFO, "p", 1, '{"event": "a", "n_ms": 1}', (), None)
     line = json.loads(formatter.format(record))
     assert (line["instance"], line["event"], line["n_ms"]) == ("e1", "a", 1)
-    other = logging.LogRecord("lib", logging.ERROR, "p", 1, "plain %s", ("text",), None)
-    assert json.loads(formatter.format(other))["text"] == "plain text"
+    library_record = logging.LogRecord("lib", logging.ERROR, "p", 1, "plain %s", ("text",), None)
+    assert json.loads(formatter.format(library_record))["text"] == "plain text"
