--- a/src/turmericlug/telemetry/events.py
+++ b/src/turmericlug/telemetry/events.py
@@ -21,8 +21,8 @@
 
     :param instance: instance name to include in each line
     """
-    # absl flags are not used. Unless they are marked as parsed, absl prints a warning that is not
-    # JSON before the first line.
+    # The programs don't parse absl flags. Unless these are marked as parsed, absl prints a warning
+    # that is not JSON before the first line.
     flags.FLAGS.mark_as_parsed()
     handler = logging.get_absl_handler()
     handler.setFormatter(_JsonFormatter(instance))
