--- a/src/turmericlug/platform/decode.py
+++ b/src/turmericlug/platform/decode.py
@@ -1,9 +1,9 @@
 """
 Decode the values of the platform's keys into this project's types.
 
-Other writers can write to the replicas' keys too. An entry with a field that deviates from the
-published format is rejected as a whole: its address may not be a replica's, and requests would be
-sent to whatever listens there.
+Programs other than replicas can write to the replicas' keys. An entry with a field that deviates
+from the published format is rejected as a whole: its address may not be a replica's, and requests
+would be sent to whatever listens there.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from turmericlug.platform import fields
 from turmericlug.platform import names
 
-_IDEMPOTENT = "idempotent"
-_READY = "ready"
-_DRAINING = "draining"
+_ROUTE_TYPE_IDEMPOTENT = "idempotent"
+_STATE_READY = "ready"
+_STATE_DRAINING = "draining"
 _DEFAULT_TIMEOUT_MS = 60_000.0
 _DEFAULT_MAX_ATTEMPTS = 1
 _MAX_REASON_LENGTH = 100
 """Error messages are truncated to this length: they may quote the value, up to a megabyte."""
 _MAX_IGNORED_FIELDS = 5
-"""Ignored fields reported for one value; a value may have thousands of them."""
+"""Ignored fields reported per value; a value may have thousands of them."""
 _MAX_PORT = 65535
 
 JsonObject = dict[str, typing.Any]
@@ -42,20 +42,20 @@
 
     :param content: the value as bytes, or as the base64 text that the store sends
     """
-    data = b""
+    raw_value = b""
     ignored: list[str] = []
     try:
-        data = (
+        raw_value = (
             binascii.a2b_base64(content, strict_mode=True) if _is_base64_text(content) else content
         )
-        found = decode_value(key, data, ignored)
+        value = decode_value(key, raw_value, ignored)
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
         reason = f"{type(error).__name__}: {error}"[:_MAX_REASON_LENGTH]
-        return source.Unreadable(key, revision, reason, data)
-    if found is None:
+        return source.Unreadable(key, revision, reason, raw_value)
+    if value is None:
         return None
-    reported = tuple(each[:_MAX_REASON_LENGTH] for each in ignored[:_MAX_IGNORED_FIELDS])
-    return source.Written(key, found, revision, data, ignored=reported)
+    reported = tuple(problem[:_MAX_REASON_LENGTH] for problem in ignored[:_MAX_IGNORED_FIELDS])
+    return source.Written(key, value, revision, raw_value, ignored=reported)
 
 
 def _is_base64_text(content: bytes | str) -> typing.TypeGuard[str]:
@@ -66,8 +66,9 @@
     """
     Decode a key's value; return ``None`` for a key that this project does not use.
 
-    :param ignored: receives the optional fields that are malformed
-    :raises ValueError, KeyError, TypeError: the value does not have the published format
+    :param ignored: receives the malformed optional fields, each with its error
+    :raises ValueError, KeyError, TypeError, AttributeError, RecursionError: the value does not have
+        the published format
     """
     if key == names.CONFIGURATION_KEY:
         return decode_configuration(json.loads(content), ignored)
@@ -83,15 +84,15 @@
 
 def decode_configuration(data: JsonObject, ignored: list[str]) -> routes.Configuration:
     """
-    Decode the operator's configuration.
+    Decode the operators' configuration.
 
-    :param ignored: receives the optional fields that are malformed
+    :param ignored: receives the malformed optional fields, each with its error
     """
     services = {
         item["Name"]: routes.Service(
             name=item["Name"],
             health_path=item.get("HealthPath", "/health"),
-            # Limit for one replica, over all callers.
+            # Connections to one replica, over all callers.
             max_connections=item.get("MaxConns") or 16,
             cold_rate_per_s=fields.read_optional(
                 item, "WarmupPerS", fields.read_rate_per_s, 0.0, ignored
@@ -110,20 +111,20 @@
 
 def _decode_key_regions(data: JsonObject, ignored: list[str]) -> dict[bytes, frozenset[str]]:
     """Map each API key to the regions that its organisation is restricted to."""
-    found: dict[bytes, frozenset[str]] = {}
+    regions_by_key: dict[bytes, frozenset[str]] = {}
     for item in fields.read_optional(data, "Tenants", fields.read_objects, [], ignored):
         regions = _decode_regions(item, ignored)
         if regions is not None:
             keys = fields.read_optional(item, "ApiKeys", fields.read_api_keys, [], ignored)
-            found |= dict.fromkeys(keys, regions)
-    return found
+            regions_by_key |= dict.fromkeys(keys, regions)
+    return regions_by_key
 
 
 def _decode_regions(item: JsonObject, ignored: list[str]) -> frozenset[str] | None:
-    """Return the allowed regions; a malformed list allows no region, ``None`` allows all."""
-    before = len(ignored)
-    found = fields.read_optional(item, "AllowedRegions", fields.read_regions, None, ignored)
-    return found if len(ignored) == before else frozenset()
+    """Return the allowed regions, ``None`` for all; a malformed list allows no region."""
+    ignored_before = len(ignored)
+    regions = fields.read_optional(item, "AllowedRegions", fields.read_regions, None, ignored)
+    return regions if len(ignored) == ignored_before else frozenset()
 
 
 def _decode_route(item: JsonObject, ignored: list[str]) -> routes.Route:
@@ -132,12 +133,12 @@
         name=item["Name"],
         host=item["Host"],
         prefix=item["Prefix"],
-        # Any other or missing route type is treated as not idempotent.
-        idempotent=item.get("RouteType") == _IDEMPOTENT,
+        # A route with any other route type, or none, is treated as not idempotent.
+        idempotent=item.get("RouteType") == _ROUTE_TYPE_IDEMPOTENT,
         timeout_ms=timeout_ms,
         goal_ms=item.get("GoalMs") or timeout_ms,
         priority=item.get("Priority") or 0,
-        # Counts all replicas that a request may be sent to (of a query: per shard), not retries.
+        # Replicas that a request (or a query's shard) may be sent to, including the first one.
         max_attempts=item.get("MaxAttempts") or _DEFAULT_MAX_ATTEMPTS,
         services=_decode_services(item),
         shards=tuple(item.get("Gather") or ()),
@@ -150,8 +151,8 @@
 def _decode_services(item: JsonObject) -> tuple[routes.WeightedService, ...]:
     if item.get("TrafficSplit"):
         return tuple(
-            routes.WeightedService(part["Service"], float(part["Weight"]))
-            for part in item["TrafficSplit"]
+            routes.WeightedService(share["Service"], float(share["Weight"]))
+            for share in item["TrafficSplit"]
         )
     return (routes.WeightedService(item["Service"], 1.0),) if item.get("Service") else ()
 
@@ -174,7 +175,7 @@
         raise ValueError("instance name is empty or not printable ASCII without spaces")
     host, port = _parse_address(item["Address"])
     state = item["State"]
-    if state not in (_READY, _DRAINING):
+    if state not in (_STATE_READY, _STATE_DRAINING):
         raise ValueError("state is neither ready nor draining")
     _require_text(item["Version"])
     return routes.ReplicaEntry(
@@ -184,35 +185,35 @@
         port=port,
         data_centre=_require_text(item["Zone"]),
         slots=_require_integer(item["Slots"], minimum=1),
-        draining=state == _DRAINING,
+        draining=state == _STATE_DRAINING,
         warmup_left_ms=_require_duration_ms(item["WarmupLeftMs"]),
         born_ms=_require_integer(item["born"]) if "born" in item else None,
         sequence=_require_integer(item["Sequence"]),
     )
 
 
-def _require_text(data: typing.Any) -> str:
-    if not isinstance(data, str) or not data:
+def _require_text(value: typing.Any) -> str:
+    if not isinstance(value, str) or not value:
         raise ValueError("not a non-empty string")
-    return data
+    return value
 
 
-def _require_integer(data: typing.Any, minimum: int = 0) -> int:
-    if not isinstance(data, int) or isinstance(data, bool) or data < minimum:
+def _require_integer(value: typing.Any, minimum: int = 0) -> int:
+    if not isinstance(value, int) or isinstance(value, bool) or value < minimum:
         raise ValueError("not an integer, or below the minimum")
-    return data
+    return value
 
 
-def _require_duration_ms(data: typing.Any) -> float:
-    if isinstance(data, bool) or not isinstance(data, int | float):
+def _require_duration_ms(value: typing.Any) -> float:
+    if isinstance(value, bool) or not isinstance(value, int | float):
         raise ValueError("duration is not a number")
-    if not (math.isfinite(data) and data >= 0):
+    if not (math.isfinite(value) and value >= 0):
         raise ValueError("duration is negative or not finite")
-    return data
+    return value
 
 
-def _parse_address(data: typing.Any) -> tuple[str, int]:
-    host, _, port = _require_text(data).rpartition(":")
+def _parse_address(value: typing.Any) -> tuple[str, int]:
+    host, _, port = _require_text(value).rpartition(":")
     try:
         socket.inet_pton(socket.AF_INET, host)
     except OSError:
@@ -236,11 +237,11 @@
 
 
 def encode_instance(instance: source.EntryInstance) -> bytes:
-    """Encode the value of an entry instance's own key, with this project's field names."""
-    data = {
+    """Encode the value of an entry instance's key; its field names are this project's own."""
+    item = {
         "address": instance.address,
         "data_centre": instance.data_centre,
         "region": instance.region,
         "peers_address": instance.peers_address,
     }
-    return json.dumps(data).encode()
+    return json.dumps(item).encode()
--- a/src/turmericlug/platform/interfaces.py
+++ b/src/turmericlug/platform/interfaces.py
@@ -1,4 +1,4 @@
-"""HTTP handlers for the platform: addresses that callers may connect to, and readiness."""
+"""HTTP handlers that the platform calls: addresses for callers, and the readiness check."""
 
 from __future__ import annotations
 
@@ -10,18 +10,20 @@
 from turmericlug.http1 import messages
 from turmericlug.platform import names
 
-_RESOLVE_KEYS = ("Region", "Zone", "Name")
+_RESOLVE_PARAMETERS = ("Region", "Zone", "Name")
 
 
 def resolve_handler(directory: directory_module.Directory) -> messages.Handler:
-    """Return the handler of requests for the addresses that a caller may connect to."""
+    """Return the handler that tells a caller the addresses it may connect to."""
 
     async def handle(request: messages.Request) -> messages.Answer:
         path, _, query = request.target.partition(b"?")
         if path != names.RESOLVE_PATH:
             return messages.Answer(404)
         parameters = urllib.parse.parse_qs(query.decode("latin-1"))
-        region, data_centre, host = ((parameters.get(key) or [""])[0] for key in _RESOLVE_KEYS)
+        region, data_centre, host = (
+            (parameters.get(name) or [""])[0] for name in _RESOLVE_PARAMETERS
+        )
         addresses = directory.addresses(region, data_centre, host)
         if not addresses:
             return messages.Answer(503)
--- a/src/turmericlug/platform/names.py
+++ b/src/turmericlug/platform/names.py
@@ -1,4 +1,4 @@
-"""The platform's wire names: headers, paths, keys. They are used only within this package."""
+"""The platform's names for headers, paths and keys, used only within this package."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def read_load(header_value: bytes) -> load.Load | None:
     """Parse the load reported by a replica; return ``None`` if it is malformed."""
     try:
-        running, waiting, slots, *slowdown_percent = fields.read_load_figures(header_value)
+        running, waiting, slots, *slowdown_percent = fields.read_load_values(header_value)
     except fields.FieldError:
         return None
     slowdown = slowdown_percent[0] / _PERCENT if slowdown_percent else 1.0
--- a/src/turmericlug/platform/store.py
+++ b/src/turmericlug/platform/store.py
@@ -1,5 +1,5 @@
 """
-Client of the platform's key-value store: its calls, and its items decoded as changes.
+Client of the platform's key-value store, which decodes its items.
 
 The client keeps two connections: one for watches, which wait for changes, and one for all other
 calls. After a lost response the store sends no further responses on that connection, so a call
@@ -25,7 +25,7 @@
 from turmericlug.telemetry import decisions
 
 CALL_TIMEOUT_S = 1.2
-"""300 times the usual response time of 4 ms; a slow store (240 ms were seen) stays within it."""
+"""300 times the usual response time of 4 ms, and well above the 240 ms that a slow store took."""
 WATCH_TIMEOUT_SLACK_S = 0.8
 _CONNECT_TIMEOUT_S = 0.6
 MAX_KEYS_PER_CALL = 32
@@ -56,8 +56,8 @@
 
 
 @attrs.frozen
-class _Answer:
-    """The response to a call, and the store's era that it belongs to."""
+class _Result:
+    """The decoded body of a response, and the store's era that the response belongs to."""
 
     era: int
     body: typing.Any
@@ -77,61 +77,61 @@
 
     async def read_all(self, may_be_stale: bool) -> source.Snapshot:
         """
-        Read all keys, page by page; changes are followed from the revision of the oldest page.
+        Read all keys, page by page; changes continue from the revision of the oldest page.
 
         Stale pages lag by different amounts, so any of them can be the oldest. After the store was
         restored from a backup, stale pages may still show writes that were lost. The operators'
-        keys are therefore read again without staleness; if these are at an older position than the
-        snapshot, all keys are.
+        keys are therefore read again without staleness. If their position is older than the
+        snapshot's, all keys are read again without staleness.
 
         :raises SourceError: no usable response
         """
         snapshot = await self._read_pages("", may_be_stale)
         if not (may_be_stale and snapshot.era):
             return snapshot
-        operators = await self._read_pages(names.OPERATORS_PREFIX, may_be_stale=False)
-        if operators.position < snapshot.position:
+        operators_snapshot = await self._read_pages(names.OPERATORS_PREFIX, may_be_stale=False)
+        if operators_snapshot.position < snapshot.position:
             return await self._read_pages("", may_be_stale=False)
-        others = [
-            each for each in snapshot.entries if not each.key.startswith(names.OPERATORS_PREFIX)
+        other_entries = [
+            entry for entry in snapshot.entries if not entry.key.startswith(names.OPERATORS_PREFIX)
         ]
-        return attrs.evolve(snapshot, entries=(*others, *operators.entries))
+        return attrs.evolve(snapshot, entries=(*other_entries, *operators_snapshot.entries))
 
     async def _read_pages(self, prefix: str, may_be_stale: bool) -> source.Snapshot:
-        written: list[source.Written | source.Unreadable] = []
+        entries: list[source.Written | source.Unreadable] = []
         positions: set[source.Position] = set()
         query = {"Prefix": prefix} | ({"Serializable": "1"} if may_be_stale else {})
         while True:
-            answer = await self._get("kv-range", query)
-            page = answer.body
-            positions.add(source.Position(answer.era, page["AsOf"]))
-            if len({each.era for each in positions}) > 1:
+            result = await self._get("kv-range", query)
+            page = result.body
+            positions.add(source.Position(result.era, page["AsOf"]))
+            if len({position.era for position in positions}) > 1:
                 raise source.SourceError("returned_from_copy")
             for item in page["items"]:
                 query["after"] = item["Key"]
-                change = _decode_item(item, answer.era)
-                if change is not None:
-                    written.append(change)
+                entry = _decode_item(item, result.era)
+                if entry is not None:
+                    entries.append(entry)
             if not page.get("HasMore"):
-                return source.Snapshot(tuple(written), min(positions).revision, answer.era)
+                return source.Snapshot(tuple(entries), min(positions).revision, result.era)
 
     async def changes(self, after: source.Position, wait_s: float) -> source.Changes:
         """
         Wait for changes.
 
-        :raises HistoryLostError: the store no longer has the changes since then, or it was restored
-            from a backup, after which the same revisions denote other changes
+        :raises HistoryLostError: the store no longer has the changes since ``after``, or it was
+            restored from a backup, after which the same revisions denote other changes
         :raises SourceError: no usable response
         """
         if after.era < self.era:
             raise source.HistoryLostError
         if self._watch_channel.interrupted:
-            # The store may have been restored meanwhile. Only a response states its era, so the
+            # The store may have been restored meanwhile, and only a response states its era: the
             # watch returns at once instead of waiting for a change.
             wait_s = 0.0
         query = {"Prefix": "", "after": str(after.revision), "WaitMs": str(int(wait_s * 1000))}
         try:
-            answer = await self._get(
+            result = await self._get(
                 "kv-watch", query, self._watch_channel, wait_s + WATCH_TIMEOUT_SLACK_S
             )
             self._watch_channel.failed = False
@@ -140,22 +140,22 @@
             if self.era != after.era:
                 raise source.HistoryLostError from None
             raise
-        if answer.era != after.era:
+        if result.era != after.era:
             raise source.HistoryLostError
         changes: list[source.Change] = []
-        for event in answer.body["events"]:
+        for event in result.body["events"]:
             if event.get("Tombstone"):
-                changes.append(source.Removed(event["Key"], event["Revision"], answer.era))
+                changes.append(source.Removed(event["Key"], event["Revision"], result.era))
                 continue
-            change = _decode_item(event, answer.era)
+            change = _decode_item(event, result.era)
             if change is not None:
                 changes.append(change)
-        return source.Changes(tuple(changes), answer.body["AsOf"], era=answer.era)
+        return source.Changes(tuple(changes), result.body["AsOf"], era=result.era)
 
     async def open_lease(self, ttl_s: float) -> int:
         """Open a lease."""
-        answer = await self._call(b"POST", "kv-lease", {"TtlMs": int(ttl_s * 1000)})
-        return answer.body["Lease"]
+        result = await self._call(b"POST", "kv-lease", {"TtlMs": int(ttl_s * 1000)})
+        return result.body["Lease"]
 
     async def renew_lease(self, lease: int) -> None:
         """
@@ -183,15 +183,15 @@
         """
         Remove keys, all or none.
 
-        :returns: false if one of them has been written since
+        :returns: false if one of them has been written again since
         :raises SourceError: no usable response, or more than ``MAX_KEYS_PER_CALL`` keys
         """
         if len(written) > MAX_KEYS_PER_CALL:
             raise source.SourceError("too_many_keys")
         body = {
-            "ExpectedRev": [{"Key": each.key, "Revision": each.revision} for each in written],
+            "ExpectedRev": [{"Key": entry.key, "Revision": entry.revision} for entry in written],
             "Puts": [],
-            "Remove": [each.key for each in written],
+            "Remove": [entry.key for entry in written],
         }
         try:
             await self._call(b"POST", "kv-txn", body)
@@ -205,7 +205,7 @@
         query: dict[str, str],
         channel: _Channel | None = None,
         timeout_s: float = CALL_TIMEOUT_S,
-    ) -> _Answer:
+    ) -> _Result:
         target = f"{path}?{urllib.parse.urlencode(query)}"
         return await self._call(b"GET", target, None, channel, timeout_s)
 
@@ -216,7 +216,7 @@
         body: typing.Any,
         channel: _Channel | None = None,
         timeout_s: float = CALL_TIMEOUT_S,
-    ) -> _Answer:
+    ) -> _Result:
         channel = channel or self._call_channel
         operation = path.partition("?")[0].partition("/")[0]
         self._counters.add(f"source.call.{operation}")
@@ -224,7 +224,7 @@
             response = await self._exchange(channel, method, path, body, timeout_s)
         era = self._update_era(response)
         if response.status == 200:
-            return _Answer(era, _parse_json(response.body))
+            return _Result(era, _parse_json(response.body))
         if response.status == 410:
             raise source.HistoryLostError
         if response.status == 404:
@@ -237,7 +237,7 @@
         """
         Return a response's era, or the latest known era if the response states none.
 
-        A later era than the known one is recorded.
+        A later era becomes the known one.
 
         :raises SourceError: the response is from before the store was restored from a backup
         """
@@ -252,7 +252,7 @@
                 self._counters.add("source.returned_from_copy")
                 decisions.log("source.returned_from_copy", era=era, before=self.era)
             self.era = era
-            # A watch that is still open there waits for changes after a revision of another era.
+            # A pending watch waits for changes after a revision of the earlier era: it is ended.
             self._close_channel(self._watch_channel)
         return era
 
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -267,7 +267,7 @@
     mutant.one(
         "changes-continue-over-a-restore",
         "platform/store.py",
-        "        if answer.era != after.era:\n            raise source.HistoryLostError\n",
+        "        if result.era != after.era:\n            raise source.HistoryLostError\n",
         "",
         "platform/test_store.py::test_changes_do_not_continue_over_a_restore",
     ),
@@ -612,8 +612,8 @@
     mutant.one(
         "unreadable-regions-allow-all",
         "platform/decode.py",
-        "    return found if len(ignored) == before else frozenset()",
-        "    return found",
+        "    return regions if len(ignored) == ignored_before else frozenset()",
+        "    return regions",
         "platform/test_fields.py::test_malformed_region_list_allows_no_region",
     ),
     mutant.one(
--- a/tests/platform/test_decode.py
+++ b/tests/platform/test_decode.py
@@ -39,16 +39,16 @@
 )
 def test_decodes_route(changes, expected):
     data = standin_platform.configuration(9, [standin_platform.route("r", "/x/", **changes)], "a")
-    found = decode.decode_configuration(data, [])
-    (route,) = found.routes
-    assert found.version == 9
+    configuration = decode.decode_configuration(data, [])
+    (route,) = configuration.routes
+    assert configuration.version == 9
     assert {key: getattr(route, key) for key in expected} == expected
 
 
 def test_decodes_services_and_limits():
-    found = decode.decode_configuration(standin_platform.configuration(1, [], ["a"]), [])
-    assert found.services == {"a": routes.Service("a", "/health", 26)}
-    assert found.limits == messages.Limits(16384, 262144, 3.0, 15.0)
+    configuration = decode.decode_configuration(standin_platform.configuration(1, [], ["a"]), [])
+    assert configuration.services == {"a": routes.Service("a", "/health", 26)}
+    assert configuration.limits == messages.Limits(16384, 262144, 3.0, 15.0)
 
 
 @pytest.mark.parametrize(("state", "draining"), [("ready", False), ("draining", True)])
@@ -61,7 +61,7 @@
     )
 
 
-VALID = {
+VALID_ENTRY = {
     "Service": "s",
     "Address": "10.0.0.7:8080",
     "Zone": "dc-1",
@@ -73,25 +73,28 @@
     "born": 1_790_000_000_000,
 }
 HUGE_NUMBER = "9" * 5000
-MALFORMED = [
+MALFORMED_ENTRIES = [
     *(
-        {key: value for key, value in VALID.items() if key != left}
-        for left in VALID
-        if left != "born"
+        {key: value for key, value in VALID_ENTRY.items() if key != omitted}
+        for omitted in VALID_ENTRY
+        if omitted != "born"
     ),
-    *(VALID | {key: None} for key in VALID),
-    *(VALID | {key: [VALID[key]]} for key in VALID),
-    *(VALID | {key: {"value": VALID[key]}} for key in VALID),
-    *(VALID | {key: str(VALID[key])} for key in ("Slots", "WarmupLeftMs", "Sequence", "born")),
-    *(VALID | {key: True} for key in VALID),
-    *(VALID | {key: 7} for key in ("Service", "Address", "Zone", "Version", "State")),
-    *(VALID | {key: -1} for key in ("Slots", "WarmupLeftMs", "Sequence", "born")),
-    *(VALID | {key: 1.5} for key in ("Slots", "Sequence", "born")),
-    *(VALID | {"WarmupLeftMs": value} for value in (math.nan, math.inf)),
-    *(VALID | {"State": value} for value in ("", "READY", "resting")),
-    *(VALID | {"Slots": 0}, VALID | {"Service": ""}, VALID | {"Zone": ""}),
+    *(VALID_ENTRY | {key: None} for key in VALID_ENTRY),
+    *(VALID_ENTRY | {key: [VALID_ENTRY[key]]} for key in VALID_ENTRY),
+    *(VALID_ENTRY | {key: {"value": VALID_ENTRY[key]}} for key in VALID_ENTRY),
     *(
-        VALID | {"Address": value}
+        VALID_ENTRY | {key: str(VALID_ENTRY[key])}
+        for key in ("Slots", "WarmupLeftMs", "Sequence", "born")
+    ),
+    *(VALID_ENTRY | {key: True} for key in VALID_ENTRY),
+    *(VALID_ENTRY | {key: 7} for key in ("Service", "Address", "Zone", "Version", "State")),
+    *(VALID_ENTRY | {key: -1} for key in ("Slots", "WarmupLeftMs", "Sequence", "born")),
+    *(VALID_ENTRY | {key: 1.5} for key in ("Slots", "Sequence", "born")),
+    *(VALID_ENTRY | {"WarmupLeftMs": value} for value in (math.nan, math.inf)),
+    *(VALID_ENTRY | {"State": value} for value in ("", "READY", "resting")),
+    *(VALID_ENTRY | {"Slots": 0}, VALID_ENTRY | {"Service": ""}, VALID_ENTRY | {"Zone": ""}),
+    *(
+        VALID_ENTRY | {"Address": value}
         for value in (
             "",
             "10.0.0.7",
@@ -111,18 +114,18 @@
 ]
 
 
-@pytest.mark.parametrize("data", MALFORMED, ids=str)
+@pytest.mark.parametrize("data", MALFORMED_ENTRIES, ids=str)
 def test_malformed_replica_entry_is_rejected(data):
     """
-    Guards against an entry written by another writer under a replica's key, with fields that are
+    Guards against an entry that another program wrote under a replica's key, with fields that are
     missing, of another type or out of range. With defaults in their place, requests would go to an
     address that no replica has; an uncaught error would end the decoding of all other entries.
     """
     content = json.dumps(data).encode()
-    found = decode.decode_change("servers/i-1", content, 5)
-    assert isinstance(found, source.Unreadable)
-    assert (found.key, found.revision, found.content) == ("servers/i-1", 5, content)
-    assert found.reason
+    decoded = decode.decode_change("servers/i-1", content, 5)
+    assert isinstance(decoded, source.Unreadable)
+    assert (decoded.key, decoded.revision, decoded.content) == ("servers/i-1", 5, content)
+    assert decoded.reason
 
 
 @pytest.mark.parametrize(
@@ -151,7 +154,7 @@
     Guards against header injection: the instance name in a replica's key holds a line break, and
     the name is sent to the replica as a header with each request.
     """
-    content = json.dumps(VALID).encode()
+    content = json.dumps(VALID_ENTRY).encode()
     assert isinstance(decode.decode_change(f"servers/{instance}", content, 5), source.Unreadable)
 
 
@@ -160,31 +163,31 @@
     assert isinstance(decode.decode_change("servers/i-1", text, 5), source.Unreadable)
 
 
-JSON = strategies.recursive(
+JSON_VALUES = strategies.recursive(
     strategies.none()
     | strategies.booleans()
     | strategies.integers()
     | strategies.floats()
     | strategies.text(max_size=8),
-    lambda inner: strategies.lists(inner, max_size=3)
-    | strategies.dictionaries(strategies.sampled_from([*VALID, "other"]), inner, max_size=4),
+    lambda values: strategies.lists(values, max_size=3)
+    | strategies.dictionaries(strategies.sampled_from([*VALID_ENTRY, "other"]), values, max_size=4),
     max_leaves=6,
 )
 
 
 @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
 @hypothesis.given(
-    strategies.dictionaries(strategies.sampled_from(list(VALID)), JSON, max_size=3),
-    strategies.sets(strategies.sampled_from(list(VALID)), max_size=2),
+    strategies.dictionaries(strategies.sampled_from(list(VALID_ENTRY)), JSON_VALUES, max_size=3),
+    strategies.sets(strategies.sampled_from(list(VALID_ENTRY)), max_size=2),
 )
-def test_accepted_replica_entry_has_valid_fields(changes, left_out):
-    data = {key: each for key, each in (VALID | changes).items() if key not in left_out}
-    found = decode.decode_change("servers/i-1", json.dumps(data).encode(), 5)
-    if isinstance(found, source.Unreadable):
-        assert changes or left_out
+def test_accepted_replica_entry_has_valid_fields(changes, omitted):
+    data = {key: value for key, value in (VALID_ENTRY | changes).items() if key not in omitted}
+    decoded = decode.decode_change("servers/i-1", json.dumps(data).encode(), 5)
+    if isinstance(decoded, source.Unreadable):
+        assert changes or omitted
         return
-    entry = found.value
-    assert left_out <= {"born"}
+    entry = decoded.value
+    assert omitted <= {"born"}
     assert entry.service == data["Service"] and entry.data_centre == data["Zone"]
     assert f"{entry.host}:{entry.port}" == data["Address"]
     assert entry.slots >= 1 and entry.warmup_left_ms >= 0
@@ -194,13 +197,13 @@
 @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
 @hypothesis.given(
     strategies.binary(max_size=60)
-    | JSON.map(lambda data: json.dumps(data).encode())
+    | JSON_VALUES.map(lambda data: json.dumps(data).encode())
     | strategies.text(max_size=40),
     strategies.sampled_from(["op/config", "servers/i-1", "turmericlug/instances/e-1", "other"]),
 )
 def test_decoding_any_value_raises_nothing(content, key):
-    found = decode.decode_change(key, content, 5)
-    assert found is None or found.key == key
+    decoded = decode.decode_change(key, content, 5)
+    assert decoded is None or decoded.key == key
 
 
 def test_unknown_keys_are_not_decoded():
--- a/tests/platform/test_fields.py
+++ b/tests/platform/test_fields.py
@@ -16,10 +16,10 @@
 from turmericlug.platform import names
 
 MALFORMED = [None, -1, 2.5, True, "x", {}, [], {"a": []}, [["r"]], 1e300, float("nan"), "9" * 400]
-json_values = strategies.recursive(
+JSON_VALUES = strategies.recursive(
     strategies.none() | strategies.booleans() | strategies.floats() | strategies.text(max_size=5),
-    lambda inner: strategies.lists(inner, max_size=3)
-    | strategies.dictionaries(strategies.text(max_size=3), inner, max_size=3),
+    lambda values: strategies.lists(values, max_size=3)
+    | strategies.dictionaries(strategies.text(max_size=3), values, max_size=3),
 )
 
 
@@ -28,9 +28,9 @@
         1, [standin_platform.route("r", "/r/", Service="s", **(route or {}))], ["s"]
     )
     data["Services"][0] |= service or {}
-    found = decode.decode_change("op/config", json.dumps(data | changes).encode(), 1)
-    assert isinstance(found, source.Written), found
-    return found
+    decoded = decode.decode_change("op/config", json.dumps(data | changes).encode(), 1)
+    assert isinstance(decoded, source.Written), decoded
+    return decoded
 
 
 @pytest.mark.parametrize(
@@ -51,27 +51,27 @@
 )
 def test_malformed_region_list_allows_no_region(value, regions, ignored):
     """Guards against requests that leave their allowed regions because the list is malformed."""
-    found = decode_with(route={"AllowedRegions": value})
-    assert found.value.routes[0].regions == regions
-    assert found.value.routes[0].goal_ms == 200
-    assert len(found.ignored) == ignored
+    decoded = decode_with(route={"AllowedRegions": value})
+    assert decoded.value.routes[0].regions == regions
+    assert decoded.value.routes[0].goal_ms == 200
+    assert len(decoded.ignored) == ignored
 
 
 @pytest.mark.parametrize("value", MALFORMED, ids=str)
 def test_malformed_rate_is_treated_as_absent(value):
-    found = decode_with(service={"WarmupPerS": value}).value
-    assert found.services["s"].cold_rate_per_s in (0.0, 2.5)
-    assert found.services["s"].max_connections == 26
+    configuration = decode_with(service={"WarmupPerS": value}).value
+    assert configuration.services["s"].cold_rate_per_s in (0.0, 2.5)
+    assert configuration.services["s"].max_connections == 26
 
 
 def test_report_of_ignored_fields_is_limited():
     data = standin_platform.configuration(1, [], [f"s{number}" for number in range(50)])
     for item in data["Services"]:
         item["WarmupPerS"] = "x" * 1000
-    found = decode.decode_change("op/config", json.dumps(data).encode(), 1)
-    assert len(found.value.services) == 50
-    assert 1 <= len(found.ignored) <= 5
-    assert max(map(len, found.ignored)) <= 100
+    decoded = decode.decode_change("op/config", json.dumps(data).encode(), 1)
+    assert len(decoded.value.services) == 50
+    assert 1 <= len(decoded.ignored) <= 5
+    assert max(map(len, decoded.ignored)) <= 100
 
 
 def test_organisations_are_restricted_by_api_key():
@@ -80,8 +80,8 @@
         {"Name": "p", "ApiKeys": ["k3"], "AllowedRegions": []},
         {"Name": "q", "ApiKeys": ["k4"], "AllowedRegions": "a"},
     ]
-    found = decode_with(Tenants=organisations).value
-    assert found.key_regions == {b"k1": {"a"}, b"k2": {"a"}, b"k4": set()}
+    configuration = decode_with(Tenants=organisations).value
+    assert configuration.key_regions == {b"k1": {"a"}, b"k2": {"a"}, b"k4": set()}
 
 
 @pytest.mark.parametrize(
@@ -98,13 +98,13 @@
 )
 def test_malformed_organisations_leave_the_rest_of_the_configuration(organisations):
     """
-    Guards against a malformed API key that makes the whole configuration unreadable, so that the
-    older configuration stays in force.
+    Guards against a malformed organisation or API key that makes the whole configuration
+    unreadable, so that the older configuration stays in force.
     """
-    found = decode_with(Tenants=organisations)
-    assert found.value.routes[0].name == "r"
-    assert found.value.key_regions == {}
-    assert len(found.ignored) == 1
+    decoded = decode_with(Tenants=organisations)
+    assert decoded.value.routes[0].name == "r"
+    assert decoded.value.key_regions == {}
+    assert len(decoded.ignored) == 1
 
 
 @pytest.mark.parametrize(
@@ -133,11 +133,11 @@
 
 @hypothesis.given(strategies.binary(max_size=40))
 def test_any_load_report_is_valid_or_ignored(value):
-    found = names.read_load(value)
-    assert found is None or (found.slots > 0 and found.slowdown > 0)
+    reported = names.read_load(value)
+    assert reported is None or (reported.slots > 0 and reported.slowdown > 0)
 
 
-@hypothesis.given(json_values, json_values, json_values)
+@hypothesis.given(JSON_VALUES, JSON_VALUES, JSON_VALUES)
 def test_malformed_optional_fields_leave_the_rest_of_the_configuration(
     regions, rate, organisations
 ):
@@ -147,16 +147,16 @@
     )
     data["Services"][0]["WarmupPerS"] = rate
     data["Tenants"] = [{"Name": "o", "ApiKeys": ["k"], "AllowedRegions": organisations}]
-    found = decode.decode_change("op/config", json.dumps(data).encode(), 1)
-    assert isinstance(found, source.Written)
-    assert found.value.match("h.example", "/r/1") is not None
+    decoded = decode.decode_change("op/config", json.dumps(data).encode(), 1)
+    assert isinstance(decoded, source.Written)
+    assert decoded.value.match("h.example", "/r/1") is not None
 
 
 @pytest.mark.parametrize("content", [b"{}", b"", b"\xff\xfe", b"[1,2]", b"null", b"x" * 2000])
 def test_evacuation_is_recognised_by_its_key_alone(content):
     """Guards against an evacuation that is rejected because its value is not a JSON object."""
-    found = decode.decode_change("op/evacuate/dc-2", content, 7)
-    assert found.value == source.Evacuation("dc-2")
+    decoded = decode.decode_change("op/evacuate/dc-2", content, 7)
+    assert decoded.value == source.Evacuation("dc-2")
 
 
 def test_field_error_states_the_expected_format():
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -12,7 +12,7 @@
 from turmericlug.platform import store as store_module
 from turmericlug.telemetry import counters
 
-OWN = source.EntryInstance("e-1", "10.0.0.1:80", "dc-1", "region-1")
+OWN_INSTANCE = source.EntryInstance("e-1", "10.0.0.1:80", "dc-1", "region-1")
 
 
 @contextlib.asynccontextmanager
@@ -35,12 +35,12 @@
     standin.put("other/key", b"not ours")
 
 
-@pytest.mark.parametrize("page", [2, 3, 500])
-def test_read_all_reads_every_page(page):
+@pytest.mark.parametrize("page_size", [2, 3, 500])
+def test_read_all_reads_every_page(page_size):
     async def main():
         async with connected() as (standin, store):
             write_entries(standin, 5)
-            standin.page = page
+            standin.page = page_size
             snapshot = await store.read_all(may_be_stale=False)
             assert len(snapshot.entries) == 6
             assert snapshot.revision == standin.revision
@@ -73,10 +73,10 @@
         async with connected() as (standin, store):
             write_entries(standin, 1)
             snapshot = await store.read_all(may_be_stale=False)
-            waiting = asyncio.create_task(store.changes(snapshot.position, 20.0))
+            pending = asyncio.create_task(store.changes(snapshot.position, 20.0))
             await asyncio.sleep(0.02)
             standin.remove("servers/i-0")
-            changes = await waiting
+            changes = await pending
             assert changes.changes == (
                 source.Removed("servers/i-0", standin.revision, standin.era),
             )
@@ -104,36 +104,36 @@
 
 async def _during_watch(standin, store, after):
     """Restore the store during a watch, then watch again."""
-    waiting = asyncio.create_task(store.changes(after, 20.0))
+    pending = asyncio.create_task(store.changes(after, 20.0))
     await asyncio.sleep(0.05)
     restore(standin)
     with pytest.raises(source.SourceError):
-        await waiting
+        await pending
     return await store.changes(after, 0.01)
 
 
 async def _without_response(standin, store, after):
     """Restore during a watch that gets no response; another call receives the new era."""
     standin.cut_on_restore = False
-    waiting = asyncio.create_task(store.changes(after, 20.0))
+    pending = asyncio.create_task(store.changes(after, 20.0))
     await asyncio.sleep(0.05)
     restore(standin)
     await store.open_lease(3.0)
     async with asyncio.timeout(1.0):
-        return await waiting
+        return await pending
 
 
-def restore(standin, past=1):
-    """Restore from a backup, then write up to the revision known before, or past it."""
-    known = standin.revision
+def restore(standin, extra_writes=1):
+    """Restore a backup, then write up to the revision before it, plus ``extra_writes``."""
+    revision_before = standin.revision
     standin.restore_backup(2)
-    while standin.revision < known + past:
+    while standin.revision < revision_before + extra_writes:
         standin.put("other/key", b"again")
 
 
 async def _after_known_restore(standin, store, after):
     """Watch after another call has received the new era."""
-    restore(standin, past=0)
+    restore(standin, extra_writes=0)
     await store.open_lease(3.0)
     async with asyncio.timeout(1.0):
         return await store.changes(after, 20.0)
@@ -146,7 +146,7 @@
         await store.changes(after, 0.01)
     standin.fault = None
     store.close()
-    restore(standin, past=0)
+    restore(standin, extra_writes=0)
     async with asyncio.timeout(1.0):
         return await store.changes(after, 20.0)
 
@@ -156,7 +156,7 @@
     [_after_restore, _during_watch, _without_response, _after_known_restore, _after_reconnect],
 )
 def test_changes_do_not_continue_over_a_restore(watch):
-    """Guards against missed changes: their revisions were in use before the restore already."""
+    """Guards against missed changes: after the restore, they reuse revisions from before it."""
 
     async def main():
         async with connected() as (standin, store):
@@ -164,9 +164,9 @@
             snapshot = await store.read_all(may_be_stale=False)
             with pytest.raises(source.HistoryLostError):
                 await watch(standin, store, snapshot.position)
-            again = await store.read_all(may_be_stale=False)
-            assert again.era == snapshot.era + 1
-            assert {each.era for each in again.entries} == {again.era}
+            new_snapshot = await store.read_all(may_be_stale=False)
+            assert new_snapshot.era == snapshot.era + 1
+            assert {entry.era for entry in new_snapshot.entries} == {new_snapshot.era}
 
     asyncio.run(main())
 
@@ -192,7 +192,7 @@
 
 @pytest.mark.parametrize("writes", [1, 8], ids=["behind", "past"])
 def test_stale_read_from_before_a_restore_does_not_hide_operators_writes(writes):
-    """Guards against an instance that starts from a stale read with revisions that were reused."""
+    """Guards against starting from a stale read whose revisions were reused after a restore."""
 
     async def main():
         async with connected() as (standin, store):
@@ -204,24 +204,24 @@
             for version in range(writes):
                 standin.put("op/config", standin_platform.configuration(10 + version, [], []))
             snapshot = await store.read_all(may_be_stale=True)
-            found = {each.key: each for each in snapshot.entries}
-            assert found["op/config"].value.version == 9 + writes
-            assert "op/evacuate/dc-1" not in found
-            assert len(found) == (5 if writes > 4 else 3)
+            entries = {entry.key: entry for entry in snapshot.entries}
+            assert entries["op/config"].value.version == 9 + writes
+            assert "op/evacuate/dc-1" not in entries
+            assert len(entries) == (5 if writes > 4 else 3)
 
     asyncio.run(main())
 
 
 @pytest.mark.parametrize("header_value", [b"", b"-1", b"2.5", b"x", b"9" * 30], ids=repr)
 def test_malformed_era_is_treated_as_the_latest(header_value):
-    """Guards against responses without an era, or with a malformed one."""
+    """Guards against a failed call because a response has no era, or a malformed one."""
 
     async def main():
         async with connected() as (standin, store):
             write_entries(standin, 1)
-            before = await store.read_all(may_be_stale=False)
+            snapshot = await store.read_all(may_be_stale=False)
             standin.era_header = header_value
-            assert (await store.read_all(may_be_stale=False)).position == before.position
+            assert (await store.read_all(may_be_stale=False)).position == snapshot.position
 
     asyncio.run(main())
 
@@ -245,13 +245,13 @@
     async def main():
         async with connected() as (standin, store):
             lease = await store.open_lease(3.0)
-            await store.register(OWN, lease)
+            await store.register(OWN_INSTANCE, lease)
             (written,) = (await store.read_all(may_be_stale=False)).entries
-            assert written.value == OWN
+            assert written.value == OWN_INSTANCE
             await store.renew_lease(lease)
             await store.end_lease(lease)
             assert (await store.read_all(may_be_stale=False)).entries == ()
-            for call in (store.renew_lease(lease), store.register(OWN, lease)):
+            for call in (store.renew_lease(lease), store.register(OWN_INSTANCE, lease)):
                 with pytest.raises(source.LeaseEndedError):
                     await call
 
@@ -262,16 +262,16 @@
 def test_remove_fails_for_an_entry_written_since(written_again):
     """
     Guards against the removal of a running instance: another instance finds it silent, and it
-    registers again just before it is deregistered. Removed regardless, it would run unlisted.
+    registers again just before its entry is removed. Removed regardless, it would run unlisted.
     """
 
     async def main():
         async with connected() as (standin, store):
-            await store.register(OWN, await store.open_lease(8.0))
+            await store.register(OWN_INSTANCE, await store.open_lease(8.0))
             (entry,) = (await store.read_all(may_be_stale=False)).entries
             assert entry.lease in standin.leases
             if written_again:
-                await store.register(OWN, entry.lease)
+                await store.register(OWN_INSTANCE, entry.lease)
             assert await store.remove([entry]) is not written_again
             assert bool(standin.items) is written_again
 
@@ -282,7 +282,8 @@
     async def main():
         async with connected() as (standin, store):
             entries = [
-                source.Written(f"k/{n}", OWN, 1) for n in range(store_module.MAX_KEYS_PER_CALL + 1)
+                source.Written(f"k/{number}", OWN_INSTANCE, 1)
+                for number in range(store_module.MAX_KEYS_PER_CALL + 1)
             ]
             with pytest.raises(source.SourceError):
                 await store.remove(entries)
@@ -294,8 +295,8 @@
 @pytest.mark.parametrize(("fault", "reason"), [("busy", "busy"), ("lost", "timeout")])
 def test_call_after_a_failed_call_succeeds(fault, reason, monkeypatch):
     """
-    Guards against a client that reuses a connection after a lost response, and waits forever: the
-    store applies a write, but sends no further response on that connection. The client closes it,
+    Guards against a client that reuses a connection after a lost response and waits forever: the
+    store applies a write, but sends no further responses on that connection. The client closes it,
     and the next call opens another one.
     """
     monkeypatch.setattr(store_module, "CALL_TIMEOUT_S", 0.1)
@@ -323,8 +324,8 @@
             standin.put("op/config", value)
             standin.put("servers/i-9", value)
             snapshot = await store.read_all(may_be_stale=False)
-            kinds = {each.key: type(each) for each in snapshot.entries}
-            assert kinds == {
+            types = {entry.key: type(entry) for entry in snapshot.entries}
+            assert types == {
                 "op/config": source.Unreadable,
                 "servers/i-0": source.Written,
                 "servers/i-1": source.Written,
@@ -332,6 +333,6 @@
             }
             standin.put("servers/i-1", value)
             changes = await store.changes(snapshot.position, 0.01)
-            assert [type(each) for each in changes.changes] == [source.Unreadable]
+            assert [type(change) for change in changes.changes] == [source.Unreadable]
 
     asyncio.run(main())
