--- a/src/turmericlug/operators/losses.py
+++ b/src/turmericlug/operators/losses.py
@@ -87,13 +87,15 @@
 
     :param lines: the decision lines of all instances, sorted by time
     """
-    routes = {line["request"]: line["route"] for line in lines if line["event"] == "query.routed"}
-    queued = {line["request"] for line in lines if line["event"] == "query.waited"}
+    routes_by_request = {
+        line["request"]: line["route"] for line in lines if line["event"] == "query.routed"
+    }
+    queued_requests = {line["request"] for line in lines if line["event"] == "query.waited"}
     endings = []
     ended_requests = set()
     unlogged = 0
     for line in lines:
-        ending = _parse_ending(line, routes, queued)
+        ending = _parse_ending(line, routes_by_request, queued_requests)
         if ending is None:
             continue
         endings.append(ending)
@@ -104,13 +106,13 @@
 
 
 def _parse_ending(
-    line: trace.Line, routes: abc.Mapping[str, str], queued: abc.Container[str]
+    line: trace.Line, routes_by_request: abc.Mapping[str, str], queued_requests: abc.Container[str]
 ) -> Ending | None:
-    route = line.get("route") or routes.get(line.get("request", ""), "unknown")
+    route = line.get("route") or routes_by_request.get(line.get("request", ""), "unknown")
     reason = line.get("reason") or ""
     match line["event"]:
         case "query.answered" | "query.partial":
-            outcome, cause = _classify_answer(line, queued)
+            outcome, cause = _classify_answer(line, queued_requests)
         case "query.refused":
             outcome, cause = REFUSED, reason.partition(":")[0]
         case "query.failed":
@@ -122,9 +124,9 @@
     return Ending(line["time_s"], route, outcome, cause)
 
 
-def _classify_answer(line: trace.Line, queued: abc.Container[str]) -> tuple[str, str]:
+def _classify_answer(line: trace.Line, queued_requests: abc.Container[str]) -> tuple[str, str]:
     if line["duration_ms"] > line["goal_ms"]:
-        if line.get("request") in queued:
+        if line.get("request") in queued_requests:
             return LATE, "queued during slow start"
         return LATE, "retried" if line["repeats"] else "slow part"
     if line["event"] == "query.partial":
