--- a/tests/entry_process.py
+++ b/tests/entry_process.py
@@ -1,4 +1,4 @@
-"""An entry instance as a separate process: its settings, start, signals and log lines."""
+"""Run entry instances as separate processes: settings, start, signals and log lines."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from turmericlug_lab import fleet_spec
 
 ROOT = pathlib.Path(__file__).parents[1]
-_SETTINGS = """\
+_SETTINGS_TEMPLATE = """\
 [entry]
 name = {name}
 data_centre = {data_centre}
@@ -43,16 +43,16 @@
     ports: list[int]
     """Ports for callers, readiness, directory, metrics and peers, in this order."""
     process: asyncio.subprocess.Process | None = None
-    leaving: bool = False
-    """Whether a test is stopping, killing or restarting it."""
+    disturbed: bool = False
+    """Whether a test is stopping, killing, freezing or restarting it."""
 
     @property
     def log(self):
-        """The file that receives its log lines."""
+        """The log file, next to the settings file."""
         return self.settings.with_suffix(".log")
 
     async def start(self):
-        """Start the program; its output goes to a file next to its settings."""
+        """Start the process; its output is appended to the log file."""
         with self.log.open("ab") as output:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -61,7 +61,7 @@
                 stdout=output,
                 stderr=output,
             )
-        self.leaving = False
+        self.disturbed = False
 
     def signal(self, number):
         """Send a signal to the process if it is running."""
@@ -69,20 +69,22 @@
             self.process.send_signal(number)
 
     def lines(self, event):
-        """Return its log lines of one event."""
-        lines = [json.loads(line) for line in self.log.read_text().splitlines()]
-        return [line for line in lines if line["event"] == event]
+        """Return the log lines of one event."""
+        records = [json.loads(line) for line in self.log.read_text().splitlines()]
+        return [record for record in records if record["event"] == event]
 
 
 def make(folder, name, store_port, regions=None, data_centre="dc-1", grace_s=3.0):
-    """Write the settings of an instance and return the instance without starting it."""
+    """Write the settings file of an instance and return the instance, not started."""
     regions = regions or {"dc-1": "r-1"}
     instance = Instance(name, folder / f"{name}.ini", fleet_spec.free_ports(5))
-    text = _SETTINGS.format(
+    text = _SETTINGS_TEMPLATE.format(
         name=name,
         data_centre=data_centre,
         region=regions[data_centre],
-        data_centres=",".join(f"{key}={value}" for key, value in regions.items()),
+        data_centres=",".join(
+            f"{each_data_centre}={each_region}" for each_data_centre, each_region in regions.items()
+        ),
         ports=instance.ports,
         store_port=store_port,
         grace_s=grace_s,
@@ -92,7 +94,7 @@
 
 
 async def ask(port, target, request_id, headers=(), method=b"GET", body=b""):
-    """Send one request on a new connection."""
+    """Send one request on a new connection and return the response."""
     connection = await client.connect("127.0.0.1", port)
     try:
         pairs = [(b"host", b"h.example"), (b"x-request-id", request_id), *headers]
@@ -101,14 +103,14 @@
         connection.close()
 
 
-async def until(condition, limit_s=20.0):
-    """Wait until a condition, a function or coroutine function, returns a true value."""
-    async with asyncio.timeout(limit_s):
+async def until(condition, timeout_s=20.0):
+    """Poll a condition, a function or coroutine function, until it returns a true value."""
+    async with asyncio.timeout(timeout_s):
         while True:
-            found = condition()
-            if asyncio.iscoroutine(found):
-                found = await found
-            if found:
+            result = condition()
+            if asyncio.iscoroutine(result):
+                result = await result
+            if result:
                 return
             await asyncio.sleep(0.02)
 
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections, and what they and the replicas hold against the promises."""
+"""Callers with persistent connections that check the guarantees against what replicas have run."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 import collections
 
 import attrs
-import world as world_module
+import testbed as testbed_module
 
 from turmericlug.http1 import client
 
-PROMISE_STATUSES = (408, 421, 429, 503)
-"""Callers take these for the promise that their request did not run and never will."""
-_LIMIT_S = 6.0
-"""Four times the callers' deadline: an answer that takes longer is not waited for."""
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+"""Statuses that guarantee to callers that their request has not run and never will."""
+_RESPONSE_TIMEOUT_S = 6.0
+"""Four times the callers' deadline; a later response is not waited for."""
 
 
 @attrs.define
@@ -27,19 +27,19 @@
 
 @attrs.define
 class Callers:
-    """All callers of one seed, with what they saw."""
+    """All callers of one seed, the outcomes they saw and the violations found."""
 
-    world: world_module.World
+    testbed: testbed_module.Testbed
     outcomes: list[Outcome] = attrs.field(factory=list)
-    broken: list[str] = attrs.field(factory=list)
+    violations: list[str] = attrs.field(factory=list)
 
-    async def call(self):
-        """Keep a connection, ask on it for as long as it lives, and judge every answer."""
-        rng, connection, instance = self.world.rng, None, None
+    async def run(self):
+        """Run one caller: reuse its connection while it is open, and check every response."""
+        rng, connection, instance = self.testbed.rng, None, None
         while True:
             await asyncio.sleep(rng.uniform(0.0, 0.08))
             if connection is None or connection.closed:
-                instance = rng.choice(self.world.instances)
+                instance = rng.choice(self.testbed.instances)
                 try:
                     connection = await client.connect("127.0.0.1", instance.ports[0])
                 except client.ConnectError:
@@ -49,15 +49,18 @@
             outcome = Outcome(b"q%d" % len(self.outcomes), prefix)
             self.outcomes.append(outcome)
             try:
-                await self._ask(connection, outcome)
+                await self._send(connection, outcome)
             except (client.ExchangeError, TimeoutError):
-                # Only an instance that was killed or frozen may end a connection without an answer.
+                # Only a killed or frozen instance may close a connection without a response.
                 if instance.process.returncode == 0:
-                    self.broken.append(f"LOST {outcome.request_id!r} by a planned stop")
+                    self.violations.append(
+                        f"LOST {outcome.request_id!r}: no response from an instance that was "
+                        "stopped gracefully"
+                    )
                 connection.close()
                 connection = None
 
-    async def _ask(self, connection, outcome):
+    async def _send(self, connection, outcome):
         method = b"POST" if outcome.prefix == "/bills/" else b"GET"
         headers = [
             (b"host", b"h.example"),
@@ -65,64 +68,88 @@
             (b"x-deadline-ms", b"1500"),
         ]
         request = client.request_bytes(method, outcome.prefix.encode() + b"1", headers, b"")
-        async with asyncio.timeout(_LIMIT_S):
-            answer = await connection.exchange(request)
-        outcome.status = answer.status
-        if answer.status == 200 and outcome.prefix == "/all/":
-            self._check_merged(outcome, answer)
-        elif answer.status == 200:
-            stamp = answer.header(b"x-server-stamp") or b""
+        async with asyncio.timeout(_RESPONSE_TIMEOUT_S):
+            response = await connection.exchange(request)
+        outcome.status = response.status
+        if response.status == 200 and outcome.prefix == "/all/":
+            self._check_merged(outcome, response)
+        elif response.status == 200:
+            stamp = response.header(b"x-server-stamp") or b""
             if not stamp.endswith(b"." + outcome.request_id):
-                self.broken.append(f"MIXED {outcome.request_id!r} got {stamp!r}")
-        elif answer.status == 404:
-            self.broken.append(f"DENIED {outcome.request_id!r}")
-
-    def _check_merged(self, outcome, answer):
-        stamps = [each for each in (answer.header(b"x-part-stamps") or b"").split(b", ") if each]
-        by_name = {replica.instance.encode(): replica for replica in self.world.replicas}
-        parts = [by_name.get(stamp.partition(b".")[0]) for stamp in stamps]
+                self.violations.append(
+                    f"MIXED {outcome.request_id!r}: response of another request, stamp {stamp!r}"
+                )
+        elif response.status == 404:
+            self.violations.append(
+                f"DENIED with status 404 on a valid route: {outcome.request_id!r}"
+            )
+
+    def _check_merged(self, outcome, response):
+        stamps = [
+            stamp for stamp in (response.header(b"x-part-stamps") or b"").split(b", ") if stamp
+        ]
+        replicas_by_name = {replica.instance.encode(): replica for replica in self.testbed.replicas}
+        replicas = [replicas_by_name.get(stamp.partition(b".")[0]) for stamp in stamps]
         records = [
-            each.body[start : start + 16]
-            for each in parts
-            if each is not None
-            for start in range(0, len(each.body), 16)
+            replica.body[start : start + 16]
+            for replica in replicas
+            if replica is not None
+            for start in range(0, len(replica.body), 16)
         ]
-        shards = world_module.SHARDS
-        right = (
+        shards = testbed_module.SHARDS
+        correct = (
             all(stamp.endswith(b"." + outcome.request_id) for stamp in stamps)
-            and len({each.service for each in parts if each is not None}) == len(stamps)
-            and len(stamps) + int(answer.header(b"x-missing-parts") or 0) == len(shards)
-            and len(stamps) >= world_module.LEAST * len(shards)
-            and answer.body == b"".join(sorted(records, reverse=True)[: world_module.TOP])
+            and len({replica.service for replica in replicas if replica is not None}) == len(stamps)
+            and len(stamps) + int(response.header(b"x-missing-parts") or 0) == len(shards)
+            and len(stamps) >= testbed_module.MIN_COVERAGE * len(shards)
+            and response.body
+            == b"".join(sorted(records, reverse=True)[: testbed_module.TOP_RECORDS])
         )
-        if not right:
-            self.broken.append(f"MIXED {outcome.request_id!r}: {stamps!r}")
+        if not correct:
+            self.violations.append(
+                f"MIXED {outcome.request_id!r}: merged response does not match its parts "
+                f"{stamps!r}"
+            )
 
     def check_runs(self):
-        """Compare what callers were told with what replicas ran."""
+        """Compare the responses that callers got with the requests that replicas ran."""
         runs = collections.defaultdict(collections.Counter)
-        reached = collections.defaultdict(set)
-        for replica in self.world.replicas:
+        replicas_reached = collections.defaultdict(set)
+        for replica in self.testbed.replicas:
             for request_id in replica.runs:
                 runs[request_id][replica.service] += 1
-                reached[request_id, replica.service].add(replica.instance)
+                replicas_reached[request_id, replica.service].add(replica.instance)
         for outcome in self.outcomes:
             self._check_run(outcome, runs[outcome.request_id])
-        for (request_id, service), replicas in reached.items():
-            if len(replicas) > world_module.ATTEMPTS:
-                self.broken.append(f"BUDGET {request_id!r} ran on {sorted(replicas)} of {service}")
-
-    def _check_run(self, outcome, ran):
-        billed = outcome.prefix == "/bills/"
-        if billed and sum(ran.values()) > 1:
-            self.broken.append(f"TWICE {outcome.request_id!r}: {dict(ran)}")
-        if outcome.status in PROMISE_STATUSES and ran:
-            self.broken.append(f"REFUSED {outcome.request_id!r} ran: {dict(ran)}")
-        allowed = {world_module.BILLS} if billed else set(world_module.SHARDS)
-        if set(ran) - allowed:
-            self.broken.append(f"ROUTE {outcome.request_id!r}: {dict(ran)}")
-
-    def served_share(self, since):
-        """Return the share of the requests after the given number that was served."""
-        ended = [each for each in self.outcomes[since:] if each.status is not None]
-        return sum(each.status == 200 for each in ended) / len(ended) if ended else 0.0
+        for (request_id, service), replicas in replicas_reached.items():
+            if len(replicas) > testbed_module.MAX_ATTEMPTS:
+                self.violations.append(
+                    f"BUDGET {request_id!r}: ran on more replicas than attempts are allowed: "
+                    f"{sorted(replicas)} of {service}"
+                )
+
+    def _check_run(self, outcome, runs_by_service):
+        is_bill = outcome.prefix == "/bills/"
+        if is_bill and sum(runs_by_service.values()) > 1:
+            self.violations.append(
+                f"TWICE {outcome.request_id!r}: non-idempotent request ran more than once: "
+                f"{dict(runs_by_service)}"
+            )
+        if outcome.status in NOT_RUN_STATUSES and runs_by_service:
+            self.violations.append(
+                f"REFUSED {outcome.request_id!r}: ran although its status guarantees the opposite: "
+                f"{dict(runs_by_service)}"
+            )
+        allowed = {testbed_module.BILLS_SERVICE} if is_bill else set(testbed_module.SHARDS)
+        if set(runs_by_service) - allowed:
+            self.violations.append(
+                f"ROUTE {outcome.request_id!r}: ran on services outside its route: "
+                f"{dict(runs_by_service)}"
+            )
+
+    def served_share(self, first):
+        """Return the share of answered requests from number ``first`` on that got status 200."""
+        answered = [outcome for outcome in self.outcomes[first:] if outcome.status is not None]
+        return (
+            sum(outcome.status == 200 for outcome in answered) / len(answered) if answered else 0.0
+        )
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak, brought about from outside the instances."""
+"""Fault injection for the soak test, from outside the instances."""
 
 from __future__ import annotations
 
@@ -7,179 +7,185 @@
 import signal
 
 import attrs
-import world as world_module
+import testbed as testbed_module
 
 from turmericlug.http1 import client
 from turmericlug.http1 import messages
 
 
 @attrs.define
-class Faults:
-    """Brings about faults of one seed in series and overlapping."""
+class FaultInjector:
+    """Injects the faults of one seed, one after the other and overlapping."""
 
-    world: world_module.World
+    testbed: testbed_module.Testbed
 
-    async def play(self, length_s):
-        """Bring about faults until the time is over, and wait for the last of them to end."""
+    async def run(self, duration_s):
+        """Inject faults for the given time, then wait until the last one is over."""
         loop = asyncio.get_running_loop()
-        rng = self.world.rng
-        end_s = loop.time() + length_s
-        kinds = (
-            self._kill, self._freeze, self._stop, self._store_away, self._lapse,
-            self._forget_history, self._replica_trouble, self._drain, self._new_version,
-            self._delay, self._reset, self._cut_one_way, self._silence,
-            self._start_again, self._foreign_entries, self._lethal,
-            self._return_from_copy, self._return_from_copy,
+        rng = self.testbed.rng
+        end_s = loop.time() + duration_s
+        faults = (
+            self._kill_instance, self._freeze_instance, self._restart_instance, self._store_outage,
+            self._expire_leases, self._forget_history, self._replica_fault, self._drain_replica,
+            self._new_configuration, self._delay_connections, self._refuse_connections,
+            self._cut_one_way, self._hang_connections, self._restart_replica,
+            self._malformed_entries, self._lethal_request, self._restore_store,
+            self._restore_store,
         )  # fmt: skip
-        # One fault at a time for each three instances: some are left to serve.
-        pause_s = 1.2 * 3 / self.world.instances_count
+        # About one fault at a time per three instances, so that some instances keep serving.
+        pause_s = 1.2 * 3 / self.testbed.instance_count
         running = set()
         while loop.time() < end_s:
-            running.add(asyncio.create_task(rng.choice(kinds)()))
+            running.add(asyncio.create_task(rng.choice(faults)()))
             await asyncio.sleep(rng.uniform(0.1, 1.0) * pause_s)
         await asyncio.gather(*running)
 
-    def _pick(self):
-        """Return an instance that nothing is happening to; one is always left."""
-        free = [each for each in self.world.instances if not each.leaving]
-        if len(free) < 2:
+    def _pick_instance(self):
+        """Pick an undisturbed instance, or ``None`` if it would be the last one."""
+        undisturbed = [instance for instance in self.testbed.instances if not instance.disturbed]
+        if len(undisturbed) < 2:
             return None
-        chosen = self.world.rng.choice(free)
-        chosen.leaving = True
+        chosen = self.testbed.rng.choice(undisturbed)
+        chosen.disturbed = True
         return chosen
 
-    async def _kill(self):
-        instance = self._pick()
+    async def _kill_instance(self):
+        instance = self._pick_instance()
         if instance is not None:
             instance.signal(signal.SIGKILL)
             await instance.process.wait()
             await instance.start()
 
-    async def _freeze(self):
-        instance = self._pick()
+    async def _freeze_instance(self):
+        instance = self._pick_instance()
         if instance is not None:
             instance.signal(signal.SIGSTOP)
-            await asyncio.sleep(self.world.rng.uniform(0.1, 2.0))
+            await asyncio.sleep(self.testbed.rng.uniform(0.1, 2.0))
             instance.signal(signal.SIGCONT)
-            instance.leaving = False
+            instance.disturbed = False
 
-    async def _stop(self):
-        instance = self._pick()
+    async def _restart_instance(self):
+        instance = self._pick_instance()
         if instance is not None:
             instance.signal(signal.SIGTERM)
             await instance.process.wait()
             await instance.start()
 
-    async def _link(self, least_s, most_s, **fields):
-        """
-        Change some connections for a while.
-
-        Those of instances to the store, those to replicas, or those between instances.
-        """
-        rng, links = self.world.rng, self.world.links
-        plain = {"mode": "pass", "one_way": "", "delay_ms": 0.0}
-        ends = rng.choice(("store/", "replica/", "peer/"))
-        names = [name for name in sorted(links.routes) if name.startswith(ends)]
+    async def _disturb_connections(self, min_s, max_s, **changes):
+        """Change up to three proxy routes to the store, to replicas or between instances."""
+        rng, proxy = self.testbed.rng, self.testbed.proxy
+        defaults = {"mode": "pass", "one_way": "", "delay_ms": 0.0}
+        prefix = rng.choice(("store/", "replica/", "peer/"))
+        names = [name for name in sorted(proxy.routes) if name.startswith(prefix)]
         names = rng.sample(names, rng.randint(1, min(3, len(names))))
         for name in names:
-            links.change(name, fields)
-        await asyncio.sleep(rng.uniform(least_s, most_s))
+            proxy.change(name, changes)
+        await asyncio.sleep(rng.uniform(min_s, max_s))
         for name in names:
-            links.change(name, plain)
+            proxy.change(name, defaults)
 
-    async def _delay(self):
-        await self._link(0.5, 3.0, delay_ms=self.world.rng.choice((20.0, 150.0, 600.0)))
+    async def _delay_connections(self):
+        await self._disturb_connections(
+            0.5, 3.0, delay_ms=self.testbed.rng.choice((20.0, 150.0, 600.0))
+        )
 
-    async def _reset(self):
-        await self._link(0.1, 1.5, mode="refuse")
+    async def _refuse_connections(self):
+        await self._disturb_connections(0.1, 1.5, mode="refuse")
 
     async def _cut_one_way(self):
-        await self._link(0.3, 3.0, one_way=self.world.rng.choice(("up", "down")))
-
-    async def _silence(self):
-        await self._link(0.3, 4.0, mode="hang")
-
-    async def _store_away(self):
-        self.world.store.fault = self.world.rng.choice(("busy", "silent", "lost"))
-        await asyncio.sleep(self.world.rng.uniform(0.2, 3.0))
-        self.world.store.fault = None
-
-    async def _lapse(self):
-        world = self.world
-        lapsed = [replica for replica in world.replicas if world.rng.random() < 0.8]
-        for replica in lapsed:
-            world.store.remove(f"servers/{replica.instance}")
-        for lease in list(world.store.leases):
-            world.store.end_lease(lease)
-        await asyncio.sleep(world.rng.uniform(0.2, 1.5))
-        world.write_replicas(lapsed)
-
-    async def _return_from_copy(self):
-        """Let the store be away for a moment and come back with what it held before, or twice."""
-        rng, world = self.world.rng, self.world
+        await self._disturb_connections(0.3, 3.0, one_way=self.testbed.rng.choice(("up", "down")))
+
+    async def _hang_connections(self):
+        await self._disturb_connections(0.3, 4.0, mode="hang")
+
+    async def _store_outage(self):
+        self.testbed.store.fault = self.testbed.rng.choice(("busy", "silent", "lost"))
+        await asyncio.sleep(self.testbed.rng.uniform(0.2, 3.0))
+        self.testbed.store.fault = None
+
+    async def _expire_leases(self):
+        testbed = self.testbed
+        expired = [replica for replica in testbed.replicas if testbed.rng.random() < 0.8]
+        for replica in expired:
+            testbed.store.remove(f"servers/{replica.instance}")
+        for lease in list(testbed.store.leases):
+            testbed.store.end_lease(lease)
+        await asyncio.sleep(testbed.rng.uniform(0.2, 1.5))
+        testbed.publish_replicas(expired)
+
+    async def _restore_store(self):
+        """Restore the store from an earlier backup after a short outage, once or twice."""
+        rng, testbed = self.testbed.rng, self.testbed
         for _ in range(rng.randint(1, 2)):
-            world.store.fault = "silent"
+            testbed.store.fault = "silent"
             await asyncio.sleep(rng.uniform(0.05, 0.6))
-            world.store.cut_on_restore = rng.random() < 0.8
-            lost = world.store.restore_backup(rng.randint(0, 30))
-            world.store.fault = None
+            testbed.store.cut_on_restore = rng.random() < 0.8
+            lost = testbed.store.restore_backup(rng.randint(0, 30))
+            testbed.store.fault = None
             await asyncio.sleep(rng.uniform(0.0, 1.0))
-            world.write_again(lost)
+            testbed.rewrite_lost(lost)
 
     async def _forget_history(self):
-        self.world.store.forget_history()
-
-    async def _new_version(self):
-        self.world.configure()
-
-    async def _drain(self):
-        replica = self.world.rng.choice(self.world.replicas)
-        self.world.write_replicas([replica], "draining")
-        await asyncio.sleep(self.world.rng.uniform(0.5, 2.0))
-        self.world.write_replicas([replica])
-
-    async def _start_again(self):
-        """Crash a replica and start it under its name; a write of its former self comes late."""
-        replica = self.world.rng.choice(self.world.replicas)
-        former = replica.entry("draining")
-        replica.script = _cut
-        await asyncio.sleep(self.world.rng.uniform(0.1, 0.6))
-        replica.start_again()
+        self.testbed.store.forget_history()
+
+    async def _new_configuration(self):
+        self.testbed.publish_configuration()
+
+    async def _drain_replica(self):
+        replica = self.testbed.rng.choice(self.testbed.replicas)
+        self.testbed.publish_replicas([replica], "draining")
+        await asyncio.sleep(self.testbed.rng.uniform(0.5, 2.0))
+        self.testbed.publish_replicas([replica])
+
+    async def _restart_replica(self):
+        """Crash and restart a replica; an entry of its previous run is written late."""
+        replica = self.testbed.rng.choice(self.testbed.replicas)
+        stale_entry = replica.entry("draining")
+        replica.script = _crash
+        await asyncio.sleep(self.testbed.rng.uniform(0.1, 0.6))
+        replica.restart()
         replica.script = None
-        self.world.write_replicas([replica])
-        await asyncio.sleep(self.world.rng.uniform(0.0, 0.6))
-        self.world.store.put(f"servers/{replica.instance}", former)
-        await asyncio.sleep(self.world.rng.uniform(0.1, 0.6))
-        self.world.write_replicas([replica])
-
-    async def _foreign_entries(self):
-        """Let somebody write what names no replica, under new keys and under a replica's own."""
-        rng, store = self.world.rng, self.world.store
-        replica = rng.choice(self.world.replicas)
+        self.testbed.publish_replicas([replica])
+        await asyncio.sleep(self.testbed.rng.uniform(0.0, 0.6))
+        self.testbed.store.put(f"servers/{replica.instance}", stale_entry)
+        await asyncio.sleep(self.testbed.rng.uniform(0.1, 0.6))
+        self.testbed.publish_replicas([replica])
+
+    async def _malformed_entries(self):
+        """Write entries that describe no replica, under a new key, a replica's key or both."""
+        rng, store = self.testbed.rng, self.testbed.store
+        replica = rng.choice(self.testbed.replicas)
         keys = ["servers/i-foreign", f"servers/{replica.instance}"]
         for key in rng.sample(keys, rng.randint(1, 2)):
-            store.put(key, rng.choice(FOREIGN_VALUES))
+            store.put(key, rng.choice(MALFORMED_ENTRIES))
         await asyncio.sleep(rng.uniform(0.1, 1.0))
         store.remove("servers/i-foreign")
-        self.world.write_replicas([replica])
+        self.testbed.publish_replicas([replica])
 
-    async def _lethal(self):
-        """Let a caller come with a request that ends the replicas that run it."""
-        instance = self.world.rng.choice(self.world.instances)
+    async def _lethal_request(self):
+        """Send a request that crashes every replica that runs it."""
+        instance = self.testbed.rng.choice(self.testbed.instances)
         with contextlib.suppress(client.ConnectError, client.ExchangeError, TimeoutError):
             async with asyncio.timeout(2.0):
-                await world_module.ask(instance.ports[0], b"/all/lethal")
-
-    async def _replica_trouble(self):
-        replica = self.world.rng.choice(self.world.replicas)
-        replica.script = self.world.rng.choice(
-            (_shed, _fail, _lose(replica), _foreign, _slow, _extra)
+                await testbed_module.get(instance.ports[0], b"/all/lethal")
+
+    async def _replica_fault(self):
+        replica = self.testbed.rng.choice(self.testbed.replicas)
+        replica.script = self.testbed.rng.choice(
+            (
+                _shed,
+                _fail,
+                _lose_response(replica),
+                _respond_to_another_request,
+                _respond_slowly,
+                _respond_twice,
+            )
         )
-        await asyncio.sleep(self.world.rng.uniform(0.3, 2.0))
+        await asyncio.sleep(self.testbed.rng.uniform(0.3, 2.0))
         replica.script = None
 
 
-FOREIGN_VALUES = (
+MALFORMED_ENTRIES = (
     b"\xff\xfe",
     b"[]",
     b"{}",
@@ -188,7 +194,7 @@
 )
 
 
-async def _cut(request):
+async def _crash(request):
     raise ConnectionResetError("the replica has crashed")
 
 
@@ -201,27 +207,27 @@
     return messages.Answer(500, ((b"x-request-id", request_id), (b"x-server-stamp", b"i.1.f")))
 
 
-async def _foreign(request):
+async def _respond_to_another_request(request):
     headers = ((b"x-request-id", b"other"), (b"x-server-stamp", b"i.1.other"))
     return messages.Answer(200, headers, b"f" * 16)
 
 
-async def _slow(request):
+async def _respond_slowly(request):
     await asyncio.sleep(0.25)
 
 
-async def _extra(request):
-    """Answer and send a second answer behind it."""
+async def _respond_twice(request):
+    """Send a response that is followed by the bytes of a second one."""
     headers = ((b"x-request-id", b"other"), (b"x-server-stamp", b"i.1.other"))
     return messages.Answer(
         200, headers, b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n", close=True
     )
 
 
-def _lose(replica):
-    async def lose(request):
-        """Run the request and lose the answer."""
+def _lose_response(replica):
+    async def lose_response(request):
+        """Run the request, but respond without a stamp and with another request id."""
         replica.runs.append(request.header(b"x-request-id") or b"")
         return messages.Answer(200, ((b"x-request-id", b"lost"),))
 
-    return lose
+    return lose_response
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,10 +1,10 @@
 """
-A randomised soak: real entry instances under faults from outside, checked from both ends.
+A randomised soak test: real entry instances under external faults, checked by callers and replicas.
 
-``python tests/soak/soak.py --seeds 50 --first 1`` plays seeds one after the other and prints each
-promise that was broken. The stand-in store and replicas and the proxies before them live in this
-process; the instances are processes of their own, ended by id. Load and addresses are loopback only
-and bounded.
+``python tests/soak/soak.py --seeds 50 --first 1`` runs seeds one after the other and prints each
+violated guarantee. The stand-in store, the stand-in replicas and the proxies run in this process.
+The instances are separate processes, which are killed by id. Traffic is bounded and uses the
+loopback interface only.
 """
 
 from __future__ import annotations
@@ -22,145 +22,166 @@
 
 import callers as callers_module  # noqa: E402
 import faults as faults_module  # noqa: E402
-import world as world_module  # noqa: E402
+import testbed as testbed_module  # noqa: E402
 
 from turmericlug.http1 import client  # noqa: E402
 
-INSTANCES = 3
-CALLERS = 6
+INSTANCE_COUNT = 3
+CALLER_COUNT = 6
 SETTLE_S = 3.0
-"""Entries have their time to come back (2.2 s), and set-aside replicas their next trial."""
-CALM_S = 1.5
-ENDS_KNOWN = 3
-KNOWN_S = 1.0
-"""Time in which every instance is to know under which request replicas ended."""
-MOST_AFTER = 3
-"""Attempts at it that may reach replicas from then on, at all instances together."""
-IN_FORCE_S = 3.0
-"""The tighter of the two bounds on a new configuration and on a draining replica."""
-
-
-async def _played(seed, length_s, folder, instances):
-    world = world_module.World(random.Random(seed), folder, instances)
-    callers = callers_module.Callers(world)
-    async with world.running():
-        calling = [asyncio.create_task(callers.call()) for _ in range(CALLERS)]
+"""Time for held entries to be written again (2.2 s) and ejected replicas to be tried again."""
+OBSERVE_S = 1.5
+CRASHES_TO_QUARANTINE = 3
+QUARANTINE_SPREAD_S = 1.0
+"""Time within which every instance learns which request crashed replicas."""
+MAX_ATTEMPTS_AFTER = 3
+"""Limit for later attempts of that request that reach replicas, over all instances together."""
+PROPAGATION_S = 3.0
+"""The tighter of the two bounds for a new configuration and for a draining replica."""
+
+
+async def _run(seed, duration_s, folder, instance_count):
+    testbed = testbed_module.Testbed(random.Random(seed), folder, instance_count)
+    callers = callers_module.Callers(testbed)
+    async with testbed.running():
+        caller_tasks = [asyncio.create_task(callers.run()) for _ in range(CALLER_COUNT)]
         try:
-            await faults_module.Faults(world).play(length_s)
-            await _recover(world, callers)
-            await _leave_calmly(world, callers)
-            await _all_in_force(world, callers)
-            await _return_calmly(world, callers)
-            await _hold_back_what_ends_replicas(world, callers)
-            await _evacuate_calmly(world, callers)
+            await faults_module.FaultInjector(testbed).run(duration_s)
+            await _check_recovery(testbed, callers)
+            await _check_drain(testbed, callers)
+            await _check_configuration(testbed, callers)
+            await _check_restore(testbed, callers)
+            await _check_quarantine(testbed, callers)
+            await _check_evacuation(testbed, callers)
         finally:
-            for task in calling:
+            for task in caller_tasks:
                 task.cancel()
-            await asyncio.gather(*calling, return_exceptions=True)
+            await asyncio.gather(*caller_tasks, return_exceptions=True)
     callers.check_runs()
-    return callers.broken
+    return callers.violations
 
 
-async def _recover(world, callers):
-    """After the last fault every instance must be ready and answer in full again."""
-    world.write_replicas()
-    await world.all_ready()
+async def _check_recovery(testbed, callers):
+    """After the last fault every instance becomes ready and serves complete responses again."""
+    testbed.publish_replicas()
+    await testbed.wait_until_ready()
     await asyncio.sleep(SETTLE_S)
-    since = len(callers.outcomes)
-    await asyncio.sleep(CALM_S)
-    share = callers.served_share(since)
+    first = len(callers.outcomes)
+    await asyncio.sleep(OBSERVE_S)
+    share = callers.served_share(first)
     if share < 0.9:
-        callers.broken.append(f"RECOVER {share:.2f} served after the last fault")
-
-
-async def _leave_calmly(world, callers):
-    """A replica that drains gets nothing new once the news had their time."""
-    replica = world.rng.choice(world.replicas)
-    world.write_replicas([replica], "draining")
-    await asyncio.sleep(IN_FORCE_S)
-    before = len(replica.runs)
-    await asyncio.sleep(CALM_S)
-    if len(replica.runs) > before:
-        late = replica.runs[before:][:3]
-        callers.broken.append(f"DRAIN {replica.instance} got {late} {IN_FORCE_S} s after the news")
-    world.write_replicas([replica])
-
-
-async def _all_in_force(world, callers):
-    """Every instance goes by the newest configuration, and by no older one."""
-    old = world.version
-    world.configure()
-    await asyncio.sleep(IN_FORCE_S)
-    for instance in world.instances:
-        for version, right in ((world.version, {200}), (old, {404})):
+        callers.violations.append(
+            f"RECOVER: only {share:.2f} of the requests were served after the last fault"
+        )
+
+
+async def _check_drain(testbed, callers):
+    """A draining replica gets no new requests once its state has had time to propagate."""
+    replica = testbed.rng.choice(testbed.replicas)
+    testbed.publish_replicas([replica], "draining")
+    await asyncio.sleep(PROPAGATION_S)
+    run_count = len(replica.runs)
+    await asyncio.sleep(OBSERVE_S)
+    if len(replica.runs) > run_count:
+        late = replica.runs[run_count:][:3]
+        callers.violations.append(
+            f"DRAIN {replica.instance}: got {late} more than {PROPAGATION_S} s after it started "
+            "to drain"
+        )
+    testbed.publish_replicas([replica])
+
+
+async def _check_configuration(testbed, callers):
+    """Every instance applies the newest configuration and no older one."""
+    old_version = testbed.version
+    testbed.publish_configuration()
+    await asyncio.sleep(PROPAGATION_S)
+    for instance in testbed.instances:
+        for version, expected in ((testbed.version, {200}), (old_version, {404})):
             path = f"/v{version}/".encode()
-            answer = await world_module.ask(instance.ports[0], path)
-            if answer.status not in right:
-                callers.broken.append(f"CONFIG {instance.name} answers {path} {answer.status}")
-
-
-async def _return_calmly(world, callers):
-    """What is confirmed after the store has returned from a copy comes into force as before."""
-    for _ in range(world.rng.randint(2, 6)):
-        world.configure()
-    await asyncio.sleep(IN_FORCE_S)
-    for _ in range(world.rng.randint(1, 2)):
-        lost = world.store.restore_backup(world.rng.randint(2, 8))
-        await asyncio.sleep(world.rng.uniform(0.0, 0.5))
-        world.write_again(lost)
-    await _all_in_force(world, callers)
-
-
-async def _hold_back_what_ends_replicas(world, callers):
-    """A request that ended three replicas reaches some more at most, at whichever instance."""
-    while len(world.lethal_reached) < ENDS_KNOWN:
-        await _ask_lethal(world.rng.choice(world.instances))
-    await asyncio.sleep(KNOWN_S + world_module.REPLICA_AWAY_S)
-    before = {attempt for _, attempt in world.lethal_reached}
-    for number in range(2 * len(world.instances)):
-        await _ask_lethal(world.instances[number % len(world.instances)])
+            response = await testbed_module.get(instance.ports[0], path)
+            if response.status not in expected:
+                callers.violations.append(
+                    f"CONFIG {instance.name}: wrong response to {path}, status {response.status}"
+                )
+
+
+async def _check_restore(testbed, callers):
+    """Configurations written after a restore of the store are applied as before."""
+    for _ in range(testbed.rng.randint(2, 6)):
+        testbed.publish_configuration()
+    await asyncio.sleep(PROPAGATION_S)
+    for _ in range(testbed.rng.randint(1, 2)):
+        lost = testbed.store.restore_backup(testbed.rng.randint(2, 8))
+        await asyncio.sleep(testbed.rng.uniform(0.0, 0.5))
+        testbed.rewrite_lost(lost)
+    await _check_configuration(testbed, callers)
+
+
+async def _check_quarantine(testbed, callers):
+    """A request that crashed three replicas reaches few more, whichever instances receive it."""
+    while len(testbed.crashes) < CRASHES_TO_QUARANTINE:
+        await _send_lethal_request(testbed.rng.choice(testbed.instances))
+    await asyncio.sleep(QUARANTINE_SPREAD_S + testbed_module.REPLICA_RESTART_S)
+    before = {request_id for _, request_id in testbed.crashes}
+    for number in range(2 * len(testbed.instances)):
+        await _send_lethal_request(testbed.instances[number % len(testbed.instances)])
         await asyncio.sleep(0.2)
-    after = {attempt for _, attempt in world.lethal_reached} - before
-    if len(after) > MOST_AFTER:
-        callers.broken.append(f"ENDS {len(after)} attempts of what ends replicas reached some")
-
-
-async def _evacuate_calmly(world, callers):
-    """The replicas of an evacuated data centre get nothing new; the others take what comes."""
-    data_centre = world.rng.choice(sorted(world_module.REGIONS))
-    inside = [each for each in world.replicas if each.zone == data_centre]
-    world.store.put(f"op/evacuate/{data_centre}", {})
-    await asyncio.sleep(IN_FORCE_S)
-    before = {each.instance: len(each.runs) for each in inside}
-    await asyncio.sleep(CALM_S)
-    late = [each.instance for each in inside if len(each.runs) > before[each.instance]]
+    after = {request_id for _, request_id in testbed.crashes} - before
+    if len(after) > MAX_ATTEMPTS_AFTER:
+        callers.violations.append(
+            f"QUARANTINE: {len(after)} more attempts of a request that crashes replicas reached "
+            "replicas"
+        )
+
+
+async def _check_evacuation(testbed, callers):
+    """Replicas of an evacuated data centre get no new requests; the other replicas serve them."""
+    data_centre = testbed.rng.choice(sorted(testbed_module.REGIONS))
+    evacuated = [replica for replica in testbed.replicas if replica.zone == data_centre]
+    testbed.store.put(f"op/evacuate/{data_centre}", {})
+    await asyncio.sleep(PROPAGATION_S)
+    run_counts = {replica.instance: len(replica.runs) for replica in evacuated}
+    await asyncio.sleep(OBSERVE_S)
+    late = [
+        replica.instance
+        for replica in evacuated
+        if len(replica.runs) > run_counts[replica.instance]
+    ]
     if late:
-        callers.broken.append(
-            f"EVACUATE {data_centre}: {late[:3]} got requests after {IN_FORCE_S} s"
+        callers.violations.append(
+            f"EVACUATE {data_centre}: {late[:3]} got requests more than {PROPAGATION_S} s after "
+            "the evacuation started"
         )
-    for instance in world.instances:
-        # Each service of the soak is in one data centre, and half of the shards will do.
-        answer = await world_module.ask(instance.ports[0], b"/all/1")
-        if answer.status != 200:
-            callers.broken.append(f"EVACUATE {instance.name} answers a query {answer.status}")
-    world.store.remove(f"op/evacuate/{data_centre}")
-    await asyncio.sleep(IN_FORCE_S)
-    if all(len(each.runs) == before[each.instance] for each in inside):
-        callers.broken.append(f"EVACUATE {data_centre} is not used {IN_FORCE_S} s after its end")
-
-
-async def _ask_lethal(instance):
+    for instance in testbed.instances:
+        # Each service runs in one data centre only, and half of the shards are enough coverage.
+        response = await testbed_module.get(instance.ports[0], b"/all/1")
+        if response.status != 200:
+            callers.violations.append(
+                f"EVACUATE {instance.name}: a query that the other data centre can serve got "
+                f"status {response.status}"
+            )
+    testbed.store.remove(f"op/evacuate/{data_centre}")
+    await asyncio.sleep(PROPAGATION_S)
+    if all(len(replica.runs) == run_counts[replica.instance] for replica in evacuated):
+        callers.violations.append(
+            f"EVACUATE {data_centre}: no requests within {PROPAGATION_S} s after the evacuation "
+            "ended"
+        )
+
+
+async def _send_lethal_request(instance):
     with contextlib.suppress(client.ConnectError, client.ExchangeError, TimeoutError):
         async with asyncio.timeout(2.5):
-            await world_module.ask(instance.ports[0], b"/all/lethal")
+            await testbed_module.get(instance.ports[0], b"/all/lethal")
 
 
-def play(seed, length_s, instances=INSTANCES):
-    """Play one seed; its logs stay only when it fails."""
+def run_seed(seed, duration_s, instance_count=INSTANCE_COUNT):
+    """Run one seed and return the violations; logs are kept only if there are any."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-    broken = asyncio.run(_played(seed, length_s, folder, instances))
-    if broken:
-        return [*broken, f"logs: {folder}"]
+    violations = asyncio.run(_run(seed, duration_s, folder, instance_count))
+    if violations:
+        return [*violations, f"logs: {folder}"]
     with contextlib.suppress(OSError):
         for path in folder.iterdir():
             path.unlink()
@@ -169,18 +190,18 @@
 
 
 def main() -> None:
-    """Play seeds from the command line."""
+    """Run seeds from the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--length-s", type=float, default=8.0)
-    parser.add_argument("--instances", type=int, default=INSTANCES)
+    parser.add_argument("--instances", type=int, default=INSTANCE_COUNT)
     options = parser.parse_args()
     failed = 0
     for seed in range(options.first, options.first + options.seeds):
-        broken = play(seed, options.length_s, options.instances)
-        failed += bool(broken)
-        print(f"seed {seed}: {'; '.join(broken[:6]) or 'kept every promise'}", flush=True)
+        violations = run_seed(seed, options.length_s, options.instances)
+        failed += bool(violations)
+        print(f"seed {seed}: {'; '.join(violations[:6]) or 'no violations'}", flush=True)
     print(f"{options.seeds - failed} passed, {failed} failed")
     raise SystemExit(bool(failed))
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,23 +1,24 @@
-"""A short seeded soak, and every seed that ever failed."""
+"""Short seeded soak tests, including every seed that has ever failed."""
 
 from __future__ import annotations
 
 import pytest
 import soak
 
-SHORT_S = 4.0
-FIXED = (101, 102)
+DURATION_S = 4.0
+SEEDS = (101, 102)
 REGRESSIONS = {
-    3104: "a question for changes waited in an era that was known to be past",
-    3207: "a question for changes waited in an era that was known to be past",
+    3104: "a watch kept waiting in an era that was known to be superseded",
+    3207: "a watch kept waiting in an era that was known to be superseded",
 }
-"""Seeds that broke a promise once, with the cause; played again for ever."""
+"""Seeds that once violated a guarantee, with the cause; they stay in the test for good."""
 
 
-@pytest.mark.parametrize("seed", [*FIXED, *REGRESSIONS])
-def test_seeds_keep_every_promise(seed):
+@pytest.mark.parametrize("seed", [*SEEDS, *REGRESSIONS])
+def test_seeds_violate_no_guarantee(seed):
     """
-    Instances are killed, frozen and stopped, the store is away, forgets and lets leases lapse,
-    replicas refuse, lose and garble, all overlapping, while callers keep their connections.
+    Instances are killed, frozen and stopped; the store fails, loses history and lets leases expire;
+    replicas refuse requests and lose or corrupt responses. These faults overlap while callers keep
+    their connections.
     """
-    assert soak.play(seed, SHORT_S) == []
+    assert soak.run_seed(seed, DURATION_S) == []
--- /dev/null
+++ b/tests/soak/testbed.py
@@ -0,0 +1,188 @@
+"""The testbed of a soak test: a store, replicas and instances, each behind its own proxy."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import itertools
+import json
+import pathlib
+import random
+import signal
+
+import attrs
+import entry_process
+import standin_platform
+
+from turmericlug.http1 import client
+from turmericlug_lab import fleet_spec
+from turmericlug_lab import standin_proxy
+
+SHARDS = tuple(f"s{number}" for number in range(6))
+BILLS_SERVICE = "bills"
+REPLICAS_PER_SERVICE = 3
+"""One more than a route's attempts, so that a part sent to too many replicas is noticed."""
+MAX_ATTEMPTS = 2
+TOP_RECORDS, MIN_COVERAGE = 4, 0.5
+REPLICA_RESTART_S = 0.5
+REGIONS = {"dc-0": "r-0", "dc-1": "r-1"}
+
+
+@attrs.define
+class Testbed:
+    """The stand-ins and instances of one seed."""
+
+    rng: random.Random
+    folder: pathlib.Path
+    instance_count: int
+    store: standin_platform.Store = attrs.field(factory=standin_platform.Store)
+    replicas: list[standin_platform.Replica] = attrs.field(factory=list)
+    instances: list[entry_process.Instance] = attrs.field(factory=list)
+    proxy: standin_proxy.Proxy | None = None
+    """Its routes are ``store/INSTANCE``, ``replica/REPLICA`` and ``peer/INSTANCE``."""
+    version: int = 0
+    configuration: dict = attrs.field(factory=dict)
+    """The configuration of that version in the operator's format."""
+    crashes: list[tuple[float, bytes]] = attrs.field(factory=list)
+    """When replicas crashed on the lethal request, and the id of the attempt."""
+    _restarts: set[asyncio.Task] = attrs.field(factory=set)
+
+    @contextlib.asynccontextmanager
+    async def running(self):
+        """Run everything for the duration of the context; processes are killed by id."""
+        async with contextlib.AsyncExitStack() as stack:
+            address = await stack.enter_async_context(standin_platform.listening(self.store.handle))
+            proxy_routes = await self._start_replicas(stack)
+            for number in range(self.instance_count):
+                proxy_routes += self._add_instance(f"e-{number}", f"dc-{number % 2}", address[1])
+            self.store.rewrite_value = self._advertise_proxy
+            self.proxy = standin_proxy.Proxy("127.0.0.1", proxy_routes)
+            await self.proxy.start()
+            stack.callback(self.proxy.close)
+            self.publish_replicas()
+            self.publish_configuration()
+            for instance in self.instances:
+                await instance.start()
+                stack.push_async_callback(_kill, instance)
+            await self.wait_until_ready()
+            yield
+
+    def _add_instance(self, name, data_centre, store_port):
+        """Create an instance, not started; return the proxy routes to the store and to it."""
+        store_proxy_port, peer_proxy_port = fleet_spec.free_ports(2)
+        instance = entry_process.make(self.folder, name, store_proxy_port, REGIONS, data_centre)
+        self.instances.append(instance)
+        return [
+            standin_proxy.Route(f"store/{name}", store_proxy_port, store_port),
+            standin_proxy.Route(f"peer/{name}", peer_proxy_port, instance.ports[4]),
+        ]
+
+    def _advertise_proxy(self, key, content):
+        """Replace an instance's address for peers by that of its proxy."""
+        if not key.startswith("turmericlug/instances/"):
+            return content
+        port = self.proxy.routes[f"peer/{key.rpartition('/')[2]}"].listen
+        return json.dumps(json.loads(content) | {"peers_address": f"127.0.0.1:{port}"}).encode()
+
+    async def _start_replicas(self, stack):
+        proxy_routes = []
+        for service in (*SHARDS, BILLS_SERVICE):
+            for number in range(REPLICAS_PER_SERVICE):
+                name = f"i-{service}-{number}"
+                body = self.rng.randbytes(16 * 6)
+                replica = standin_platform.Replica(name, service, body, 0.004)
+                host, port = await stack.enter_async_context(
+                    standin_platform.listening(replica.handle)
+                )
+                (proxy_port,) = fleet_spec.free_ports(1)
+                proxy_routes.append(standin_proxy.Route(f"replica/{name}", proxy_port, port))
+                replica.address = (host, proxy_port)
+                replica.on_crash = self._handle_crash
+                replica.zone = f"dc-{(number + len(self.replicas)) % 2}"
+                self.replicas.append(replica)
+        return proxy_routes
+
+    def _handle_crash(self, replica):
+        now_s = asyncio.get_running_loop().time()
+        self.crashes.append((now_s, replica.runs[-1]))
+        restart = asyncio.create_task(self._restart_replica(replica))
+        self._restarts.add(restart)
+        restart.add_done_callback(self._restarts.discard)
+
+    async def _restart_replica(self, replica):
+        """Restart a crashed replica under the same name."""
+        proxy_route = f"replica/{replica.instance}"
+        self.proxy.change(proxy_route, {"mode": "refuse"})
+        await asyncio.sleep(REPLICA_RESTART_S)
+        self.proxy.change(proxy_route, {"mode": "pass"})
+        replica.restart()
+        self.publish_replicas([replica])
+
+    def publish_replicas(self, replicas=None, state="ready"):
+        """Write the entries of replicas, by default of all, as the replicas would."""
+        for replica in self.replicas if replicas is None else replicas:
+            entry = replica.entry(state) | {"Zone": replica.zone}
+            self.store.put(f"servers/{replica.instance}", entry)
+
+    def publish_configuration(self):
+        """Write the next version; its route ``/vVERSION/`` replaces that of the previous one."""
+        self.version += self.rng.randint(1, 3)
+        query_fields = {"Gather": list(SHARDS), "TopK": TOP_RECORDS, "MinCoverage": MIN_COVERAGE}
+        routes = [
+            standin_platform.route("all", "/all/", MaxAttempts=MAX_ATTEMPTS, **query_fields),
+            standin_platform.route(
+                "bills",
+                "/bills/",
+                Service=BILLS_SERVICE,
+                RouteType="non_idempotent",
+                MaxAttempts=MAX_ATTEMPTS,
+            ),
+            standin_platform.route(f"v{self.version}", f"/v{self.version}/", Service="s0"),
+        ]
+        services = [*SHARDS, BILLS_SERVICE]
+        self.configuration = standin_platform.configuration(self.version, routes, services)
+        self.store.put("op/config", self.configuration)
+
+    def rewrite_lost(self, lost):
+        """Write the current state of all operator and replica keys that the store has lost."""
+        if "op/config" in lost:
+            self.store.put("op/config", self.configuration)
+        for key in lost.keys() - {"op/config"}:
+            if key.startswith("op/"):
+                self.store.write_again({key: lost[key]})
+        self.publish_replicas(
+            [replica for replica in self.replicas if f"servers/{replica.instance}" in lost]
+        )
+
+    async def wait_until_ready(self):
+        """Wait until every instance reports that it is ready."""
+        async with asyncio.timeout(30 + self.instance_count):
+            for instance in self.instances:
+                while not await _is_ready(instance):
+                    await asyncio.sleep(0.05)
+
+
+async def _kill(instance):
+    instance.signal(signal.SIGCONT)
+    instance.signal(signal.SIGKILL)
+    await instance.process.wait()
+
+
+async def _is_ready(instance):
+    with contextlib.suppress(client.ConnectError, client.ExchangeError, TimeoutError):
+        async with asyncio.timeout(1.0):
+            return (await get(instance.ports[1], b"/turmericlug/ready")).status == 200
+    return False
+
+
+_probe_numbers = itertools.count()
+
+
+async def get(port, target):
+    """Send a GET request to an instance on a new connection."""
+    connection = await client.connect("127.0.0.1", port)
+    headers = [(b"host", b"h.example"), (b"x-request-id", b"probe-%d" % next(_probe_numbers))]
+    try:
+        return await connection.exchange(client.request_bytes(b"GET", target, headers, b""))
+    finally:
+        connection.close()
--- a/tests/standin_platform.py
+++ b/tests/standin_platform.py
@@ -16,9 +16,9 @@
 from turmericlug.http1 import server
 
 OK = 200
-FIRST_LEASE = 7000
+FIRST_LEASE_ID = 7000
 MAX_BACKUPS = 200
-"""Latest changes that a restore of the store can undo."""
+"""Number of latest changes that a restore of the store can revert."""
 ERA_HEADER = b"store-era"
 
 
@@ -32,20 +32,20 @@
 
 
 class Store:
-    """Keys with revisions, leases and history, as in the platform's documentation."""
+    """A key-value store with revisions, leases and watches, as the platform documents it."""
 
     def __init__(self):
         self.items = {}
         self.history = []
         self.revision = 100
-        self.first_known = 0
+        self.compacted_revision = 0
         self.leases = {}
         self.calls = []
         self.fault = None
-        """``busy``: calls are refused; ``silent``: they hang; ``lost``: applied, no response."""
+        """``busy``: refuse calls; ``silent``: hang; ``lost``: apply calls, but send no response."""
         self.page = 500
         self.lags = []
-        """Revisions by which each of the next stale reads reports to lag."""
+        """For each of the next stale reads, by how many revisions the reported one is behind."""
         self.stale_reads = 0
         self.stale_state = None
         """State that stale reads return instead of the current one."""
@@ -54,15 +54,15 @@
         self.era_header = None
         """Value of the era header; ``None``: the era."""
         self.cut_on_restore = True
-        """Whether a restore from a backup ends pending watches; otherwise they hang."""
+        """Whether a restore from a backup fails pending watches; otherwise they hang."""
         self.on_page = lambda: None
-        """Called when a page of a read is returned."""
+        """Called before each page of a read is returned."""
         self.backups = collections.deque(maxlen=MAX_BACKUPS)
         """The state before each of the latest changes, newest last."""
         self.rewrite_value = lambda key, content: content
-        """Rewrites an instance's entry, such as its address to route its peers through a proxy."""
+        """Rewrites an instance's entry, for example to route its peers through a proxy."""
         self._changed = asyncio.Event()
-        self._numbers = itertools.count(FIRST_LEASE)
+        self._lease_ids = itertools.count(FIRST_LEASE_ID)
 
     def put(self, key, value, lease=0):
         """Write a key as the operator or a replica would."""
@@ -101,10 +101,10 @@
 
     def restore_backup(self, changes):
         """
-        Lose the latest changes, and reuse their revisions.
+        Revert the latest changes; later writes reuse their revisions.
 
-        :returns: the lost values of the operator's and the replicas' keys; ``None`` for a key whose
-            removal was lost
+        :returns: the lost values by key, for keys of the operator and of replicas; ``None`` for a
+            lost removal
         """
         lost = {}
         changes = min(changes, len(self.backups))
@@ -118,15 +118,15 @@
                 self.backups.pop()
             self.items, self.revision = dict(restored.items), restored.revision
             self.leases = dict(restored.leases)
-            self.history = [each for each in self.history if each["Revision"] <= self.revision]
-            self.first_known = min(self.first_known, self.revision)
-            self._numbers = itertools.count(max(self.leases, default=FIRST_LEASE - 1) + 1)
+            self.history = [event for event in self.history if event["Revision"] <= self.revision]
+            self.compacted_revision = min(self.compacted_revision, self.revision)
+            self._lease_ids = itertools.count(max(self.leases, default=FIRST_LEASE_ID - 1) + 1)
         self.era += 1
         self._wake()
         return lost
 
     def write_again(self, lost):
-        """Repeat the lost writes of the operator and the replicas, as these do."""
+        """Repeat lost writes, as the operator and the replicas do."""
         for key, content in lost.items():
             if content is None:
                 self.remove(key)
@@ -138,8 +138,8 @@
         changed.set()
 
     def forget_history(self):
-        """Drop the history; watches from an earlier revision get status 410."""
-        self.first_known = self.revision
+        """Compact the history; watches from an earlier revision get status 410."""
+        self.compacted_revision = self.revision
         self._wake()
 
     def end_lease(self, lease):
@@ -149,7 +149,7 @@
             self.remove(key)
 
     async def handle(self, request):
-        """Handle one call."""
+        """Serve one call to the store."""
         path, _, query = request.target.decode().partition("?")
         call = path.removeprefix("/turmericlug/")
         parameters = {key: values[0] for key, values in urllib.parse.parse_qs(query).items()}
@@ -159,7 +159,7 @@
         if self.fault == "silent":
             await asyncio.sleep(60)
         headers = self._headers()
-        status, body = await self._answer(call, parameters, json.loads(request.body or b"{}"))
+        status, body = await self._dispatch(call, parameters, json.loads(request.body or b"{}"))
         if self.fault == "lost":
             await asyncio.sleep(60)
         return messages.Answer(status, headers, json.dumps(body).encode())
@@ -168,11 +168,11 @@
         value = b"%d" % self.era if self.era_header is None else self.era_header
         return ((ERA_HEADER, value),)
 
-    async def _answer(self, call, parameters, body):
-        name, _, rest = call.partition("/")
-        return await getattr(self, "_" + name.replace("-", "_"))(parameters, body, rest)
+    async def _dispatch(self, call, parameters, body):
+        name, _, argument = call.partition("/")
+        return await getattr(self, "_" + name.replace("-", "_"))(parameters, body, argument)
 
-    async def _kv_range(self, parameters, body, rest):
+    async def _kv_range(self, parameters, body, argument):
         stale = parameters.get("Serializable") == "1"
         state = self.stale_state if stale and self.stale_state else self
         keys = sorted(
@@ -181,44 +181,44 @@
             if key.startswith(parameters.get("Prefix", "")) and key > parameters.get("after", "")
         )
         items = [state.items[key] for key in keys[: self.page]]
-        more = len(keys) > self.page
+        has_more = len(keys) > self.page
         self.stale_reads += stale
         lag = self.lags.pop(0) if stale and self.lags else 0
-        answer = {"items": items, "HasMore": more, "AsOf": state.revision - lag}
+        answer = {"items": items, "HasMore": has_more, "AsOf": state.revision - lag}
         self.on_page()
         return OK, answer
 
-    async def _kv_watch(self, parameters, body, rest):
+    async def _kv_watch(self, parameters, body, argument):
         after, era = int(parameters["after"]), self.era
-        until = asyncio.get_running_loop().time() + int(parameters["WaitMs"]) / 1000
+        deadline_s = asyncio.get_running_loop().time() + int(parameters["WaitMs"]) / 1000
         while True:
             if self.era != era and not self.cut_on_restore:
                 await asyncio.sleep(60)
             if self.era != era:
                 return 503, {}
-            if after < self.first_known or after > self.revision:
+            if after < self.compacted_revision or after > self.revision:
                 return 410, {}
-            events = [each for each in self.history if each["Revision"] > after]
-            left_s = until - asyncio.get_running_loop().time()
-            if events or left_s <= 0:
+            events = [event for event in self.history if event["Revision"] > after]
+            remaining_s = deadline_s - asyncio.get_running_loop().time()
+            if events or remaining_s <= 0:
                 return OK, {"events": events, "AsOf": self.revision}
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(left_s):
+                async with asyncio.timeout(remaining_s):
                     await self._changed.wait()
 
-    async def _kv_lease(self, parameters, body, rest):
-        lease = next(self._numbers)
+    async def _kv_lease(self, parameters, body, argument):
+        lease = next(self._lease_ids)
         self.leases[lease] = body["TtlMs"]
         return OK, {"Lease": lease, "TtlMs": body["TtlMs"]}
 
-    async def _kv_keep(self, parameters, body, rest):
-        return (OK, {"TtlMs": 3000}) if int(rest) in self.leases else (404, {})
+    async def _kv_keep(self, parameters, body, argument):
+        return (OK, {"TtlMs": 3000}) if int(argument) in self.leases else (404, {})
 
-    async def _kv_lease_end(self, parameters, body, rest):
-        self.end_lease(int(rest))
+    async def _kv_lease_end(self, parameters, body, argument):
+        self.end_lease(int(argument))
         return OK, {}
 
-    async def _kv_txn(self, parameters, body, rest):
+    async def _kv_txn(self, parameters, body, argument):
         expected = {row["Key"]: row["Revision"] for row in body["ExpectedRev"]}
         if any(
             (self.items[key]["Revision"] if key in self.items else 0) != revision
@@ -252,18 +252,18 @@
         self.runs = []
         self.address = None
         self.script = None
-        self.on_lethal = None
-        """Called to end the replica while it runs a request with ``lethal`` in its path."""
+        self.on_crash = None
+        """Called to crash the replica while it runs a request with ``lethal`` in its path."""
         self.born_ms = 1_790_000_000_000
         self.sequence = 0
 
-    def start_again(self):
-        """Restart as another incarnation under the same name, without earlier state."""
+    def restart(self):
+        """Restart under the same name and without earlier state, as another incarnation."""
         self.born_ms += 1500
         self.sequence = 0
 
     async def handle(self, request):
-        """Handle one request as the platform's documentation defines."""
+        """Handle one request as the platform documents it."""
         expected = request.header(b"x-expect-instance")
         request_id = request.header(b"x-request-id") or b""
         if expected and expected != self.instance.encode():
@@ -274,15 +274,15 @@
                 return answer
         self.runs.append(request_id)
         await asyncio.sleep(self.delay_s)
-        if self.on_lethal is not None and b"lethal" in request.target:
-            self.on_lethal(self)
+        if self.on_crash is not None and b"lethal" in request.target:
+            self.on_crash(self)
             raise ConnectionResetError("the replica has crashed")
         stamp = b"%s.%d.%s" % (self.instance.encode(), len(self.runs), request_id)
         headers = ((b"x-request-id", request_id), (b"x-server-stamp", stamp))
         return messages.Answer(200, headers, self.body)
 
     def entry(self, state="ready"):
-        """Return the entry that the replica publishes of itself."""
+        """Return the entry that the replica publishes, with the next sequence number."""
         self.sequence += 1
         return {
             "Service": self.service,
