--- a/tests/fake_store.py
+++ b/tests/fake_store.py
@@ -7,7 +7,7 @@
 
 
 class FakeStore:
-    """Behaves like ``store.Store``; the next swaps follow ``plan``."""
+    """Has the interface of ``store.Store``; ``plan`` determines how the next swaps end."""
 
     def __init__(self):
         self.values = {}
@@ -60,7 +60,7 @@
         return self.revision
 
     def restore_backup(self, writes):
-        """Lose the latest writes; their revisions are reused."""
+        """Revert the latest writes; later writes reuse their revisions."""
         for _ in range(min(writes, len(self.backups))):
             self.revision, self.values = self.backups.pop()
         self.era += 1
--- a/tests/handing.py
+++ b/tests/handing.py
@@ -1,4 +1,4 @@
-"""Fixtures for instances that hand over batches to each other, with scripted replicas."""
+"""Helpers for tests of the handover of batches between instances, with scripted replicas."""
 
 from __future__ import annotations
 
@@ -55,10 +55,10 @@
 @contextlib.asynccontextmanager
 async def peer(handler, interim=INTERIM_RESPONSE, others=()):
     """
-    Run peers in the data centre ``far`` and yield the handover to them.
+    Run peers in the data centre ``far`` and yield a ``Handover`` that sends batches to them.
 
     :param handler: handler of the first peer
-    :param interim: interim response of the first peer; empty for none
+    :param interim: interim response that the first peer sends; empty for none
     :param others: handlers of further peers, which send an interim response
     """
     loop = asyncio.get_running_loop()
@@ -70,8 +70,8 @@
 
     peers = replicas_module.Replicas(make_pool, PLACE, budget.Allowance())
     async with contextlib.AsyncExitStack() as stack:
-        kinds = [(handler, interim), *((other, INTERIM_RESPONSE) for other in others)]
-        for number, (each_handler, each_interim) in enumerate(kinds, 2):
+        handlers = [(handler, interim), *((other, INTERIM_RESPONSE) for other in others)]
+        for number, (each_handler, each_interim) in enumerate(handlers, 2):
             peer_server = server.Server(each_handler, messages.Limits, 10, interim=each_interim)
             listener = await server.listen(peer_server, "127.0.0.1", 0)
             stack.callback(peer_server.close)
@@ -82,7 +82,7 @@
 
 
 def make_sender(scripts):
-    """Make a sender whose replicas are in the data centre named by the prefix of their name."""
+    """Create a sender; the prefix of each replica's name is its data centre."""
     sender = scripted.make_sender(scripts)
     replica_table = replicas_module.Replicas(
         sender.replicas._make_pool, PLACE, budget.Allowance(0.2, 100.0, 10.0)
@@ -110,12 +110,12 @@
 
 
 def peer_handler(replicas):
-    """Return the handler of a peer with its own sender to the replicas."""
-    holder = {}
+    """Return a peer's handler, which creates its sender to the replicas at the first batch."""
+    created = {}
 
     async def handle(request):
-        if "handler" not in holder:
-            holder["handler"] = batches.handler(make_sender(replicas))
-        return await holder["handler"](request)
+        if "handler" not in created:
+            created["handler"] = batches.handler(make_sender(replicas))
+        return await created["handler"](request)
 
     return handle
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -1,4 +1,4 @@
-"""Scripted replicas for tests of the real sending code."""
+"""Scripted replicas for tests of the code that sends requests to replicas."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Connection:
-    """Plays the replica's steps: a response, an error, or seconds to wait before the next step."""
+    """Follows the replica's script: a response, an error, or seconds to wait for the next step."""
 
     def __init__(self, replica):
         self.replica = replica
@@ -73,7 +73,7 @@
 
 
 class Scripted:
-    """A replica that plays its steps in order and repeats the last one."""
+    """A replica that follows the steps of its script in order and repeats the last one."""
 
     def __init__(self, *script):
         self.script = list(script)
@@ -87,7 +87,7 @@
 
 
 class Ending(Scripted):
-    """A replica that crashes when it runs a request and then refuses connections."""
+    """A replica that crashes when it runs a request and, by default, then refuses connections."""
 
     def __init__(self, *script, takes_connections=False):
         super().__init__(*(script or [client.ConnectionLostError("connection closed")]))
@@ -124,17 +124,21 @@
 
 def make_sender(scripts, slack=100.0):
     """Create a sender with scripted replicas, given by service and instance."""
-    by_instance = {name: script for each in scripts.values() for name, script in each.items()}
+    replicas_by_name = {
+        name: replica for replicas in scripts.values() for name, replica in replicas.items()
+    }
     loop = asyncio.get_running_loop()
 
-    def make_pool(item):
-        return pool_module.Pool(by_instance[item.instance].connect, lambda: 3, loop.time)
+    def make_pool(replica_entry):
+        return pool_module.Pool(
+            replicas_by_name[replica_entry.instance].connect, lambda: 3, loop.time
+        )
 
-    known = replicas_module.Replicas(make_pool, PLACE, budget.Allowance(0.2, slack, 10.0))
+    replica_table = replicas_module.Replicas(make_pool, PLACE, budget.Allowance(0.2, slack, 10.0))
     for service, replicas in scripts.items():
         for instance in replicas:
-            known.put(entry(instance, service))
-    return sender_module.Sender(known, NAMES, counters.Counters(), tasks.Tasks(), lambda: 1)
+            replica_table.put(entry(instance, service))
+    return sender_module.Sender(replica_table, NAMES, counters.Counters(), tasks.Tasks(), lambda: 1)
 
 
 def make_call(deadline_ms=2000.0, **changes):
