--- a/tests/mutant.py
+++ b/tests/mutant.py
@@ -1,4 +1,4 @@
-"""One mechanism to take away, and the test that has to notice."""
+"""Mutants: edits of the source that each disable one mechanism."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class Mutant:
-    """A mechanism taken away, and the test that has to notice."""
+    """Edits that disable a mechanism, and the test that must then fail."""
 
     name: str
     path: str
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1,6 +1,6 @@
-"""Takes one mechanism away at a time, in a scratch copy, and shows that its test fails then.
+"""Disable one mechanism at a time in a scratch copy and check that its test then fails.
 
-Run by hand: ``python tests/mutants.py [NAME...]``; docs/PROOFS.md holds what a run printed.
+Run manually: ``python tests/mutants.py [NAME...]``; docs/PROOFS.md holds the output of a run.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 import mutants_entry
 
 ROOT = pathlib.Path(__file__).parents[1]
-LIMIT_S = 120
-"""Some tests wait for what the mechanism brings about, and never end without it."""
+TIMEOUT_S = 120
+"""Some tests wait for an effect of the mechanism and never end without it."""
 
 
 def run(mutant):
-    """Return how the test ended without the mechanism: ``failed`` is what is wanted."""
+    """Return how the test ends without the mechanism; ``failed`` is expected."""
     with tempfile.TemporaryDirectory() as folder:
         copy = pathlib.Path(folder) / "copy"
         ignored = shutil.ignore_patterns(".git", ".venv", "__pycache__", ".hypothesis")
@@ -30,27 +30,32 @@
         text = path.read_text()
         for old, new in mutant.edits:
             if text.count(old) != 1:
-                return f"does not apply: {old!r} stands {text.count(old)} times"
+                return f"does not apply: {old!r} occurs {text.count(old)} times"
             text = text.replace(old, new)
         path.write_text(text)
         environment = os.environ | {"PYTHONPATH": str(copy / "src")}
         command = [sys.executable, "-m", "pytest", "-x", "-q", mutant.test]
         try:
-            done = subprocess.run(
-                command, cwd=copy, env=environment, capture_output=True, text=True, timeout=LIMIT_S
+            result = subprocess.run(
+                command,
+                cwd=copy,
+                env=environment,
+                capture_output=True,
+                text=True,
+                timeout=TIMEOUT_S,
             )
         except subprocess.TimeoutExpired:
-            return f"failed: no end within {LIMIT_S} s"
-        if done.returncode == 0:
-            return "passed, although the mechanism is gone"
-        reasons = [line for line in done.stdout.splitlines() if line.startswith("E  ")]
-        return f"failed: {reasons[0][1:].strip()[:110] if reasons else done.returncode}"
+            return f"failed: timed out after {TIMEOUT_S} s"
+        if result.returncode == 0:
+            return "passed although the mechanism is disabled"
+        errors = [line for line in result.stdout.splitlines() if line.startswith("E  ")]
+        return f"failed: {errors[0][1:].strip()[:110] if errors else result.returncode}"
 
 
 def main():
-    wanted = sys.argv[1:]
+    names = sys.argv[1:]
     for mutant in (*mutants_daemon.MUTANTS, *mutants_entry.MUTANTS):
-        if not wanted or mutant.name in wanted:
+        if not names or mutant.name in names:
             print(f"| {mutant.name} | {mutant.test.partition('tests/')[2]} | {run(mutant)} |")
             sys.stdout.flush()
 
--- a/tests/mutants_daemon.py
+++ b/tests/mutants_daemon.py
@@ -1,4 +1,4 @@
-"""Mechanisms of the daemon that can be taken away."""
+"""Mutants that each disable a mechanism of the daemon."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 MUTANTS = (
     mutant.Mutant(
-        "take-any-snapshot",
+        "use-any-snapshot",
         "src/turmericlug/owner/service_queue.py",
         (
             (
@@ -47,7 +47,7 @@
         "integration/test_own_answer.py::test_owner_frozen",
     ),
     mutant.one(
-        "unknown-called-not-run",
+        "report-unknown-as-not-run",
         "owner/service_queue.py",
         "        if part.may_have_run:\n            self._fail(part, reason)",
         "        if part.done:\n            self._fail(part, reason)",
@@ -61,7 +61,7 @@
         "integration/test_at_most_once.py::test_key_runs_once[store_outage]",
     ),
     mutant.one(
-        "records-without-swap",
+        "write-records-without-compare",
         "records/ledger.py",
         "revision = await self._store.swap([known], puts)",
         "revision = await self._store.swap([], puts)",
@@ -82,14 +82,14 @@
         "records/test_ledger.py::test_unknown_key_from_before_a_restore_is_open",
     ),
     mutant.one(
-        "write-from-before-a-restore-trusted",
+        "trust-a-write-from-before-a-restore",
         "records/ledger.py",
         "        if self._store.eras.latest != self._era:",
         "        if not self._store:",
         "records/test_ledger.py::test_claim_written_during_a_restore_is_checked",
     ),
     mutant.one(
-        "lost-edits-stay-lost",
+        "do-not-write-back-lost-edits",
         "rules/repository.py",
         "        if not lost:\n            return False",
         "        if stored:\n            return False",
@@ -124,7 +124,7 @@
         "records/test_ledger.py::test_late_claim_of_a_released_attempt_is_not_granted",
     ),
     mutant.one(
-        "drain-reply-ignored",
+        "ignore-a-drain-reply",
         "owner/service_queue.py",
         'case target.NotRun(reason="draining"):',
         'case target.NotRun(reason="never"):',
@@ -138,21 +138,21 @@
         "integration/test_leaving_target.py::test_crashed_target",
     ),
     mutant.one(
-        "stop-without-lifetime",
+        "stop-before-addresses-expire",
         "daemon.py",
         "await asyncio.sleep(settings.policy.address_lifetime_ms / 1000)",
         "await asyncio.sleep(0)",
         "integration/test_planned_stop.py::test_rolling_replacement[False]",
     ),
     mutant.one(
-        "ready-without-rules",
+        "serve-before-ready",
         "membership/members.py",
         "return self.ready and self.state in (ALIVE, SUSPECT)",
         "return self.state in (ALIVE, SUSPECT)",
         "membership/test_members.py::test_serving_depends_on_state_and_readiness",
     ),
     mutant.one(
-        "always-current",
+        "always-fresh",
         "membership/freshness.py",
         "return self._now_s() - newest_at_s <= self._limit_s",
         "return True",
@@ -166,7 +166,7 @@
         "membership/test_freshness.py::test_a_gap_discards_all_evidence",
     ),
     mutant.one(
-        "revisions-may-fall",
+        "accept-older-revisions",
         "rules/configuration.py",
         "if document.revision <= current:",
         "if document.revision == current:",
@@ -180,28 +180,28 @@
         "integration/test_rules.py::test_running_query_delays_acceptance",
     ),
     mutant.one(
-        "edit-not-found-again",
+        "do-not-recognise-applied-edits",
         "rules/edits.py",
         "if edit.edit == change.edit:",
         "if not change.edit:",
         "integration/test_rules.py::test_edit_with_troubled_store",
     ),
     mutant.one(
-        "death-not-refuted",
+        "do-not-refute-own-death",
         "membership/members.py",
         "if member.state != self.own.state and member.incarnation >= self.own.incarnation:",
         "if not member.instance:",
         "membership/test_members.py::test_own_death_is_refuted",
     ),
     mutant.one(
-        "replayed-frames-run",
+        "run-replayed-frames",
         "wire/server.py",
         "if message.requestId and message.requestId <= newest:",
         "if message.requestId < 0:",
         "integration/test_bad_input.py::test_replayed_frame_ends_connection",
     ),
     mutant.one(
-        "any-key-will-do",
+        "accept-any-key",
         "wire/handshake.py",
         'reason = "wrong_key"',
         'reason = ""',
@@ -217,7 +217,7 @@
         "owner/test_service_queue.py::test_refused_at_once_when_it_cannot_finish",
     ),
     mutant.one(
-        "hedge-behind-new-parts",
+        "start-queued-parts-before-hedges",
         "owner/service_queue.py",
         "        self._start_hedges(now_s)\n        while len(self._queue):",
         "        while len(self._queue):",
--- a/tests/test_mutants_apply.py
+++ b/tests/test_mutants_apply.py
@@ -1,4 +1,4 @@
-"""The list of mechanisms that can be taken away fits the code."""
+"""All mutants apply to the current source."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 @pytest.mark.parametrize("mutant", ALL, ids=lambda mutant: mutant.name)
-def test_a_mechanism_stands_where_its_mutant_looks_for_it(mutant):
+def test_mutant_applies(mutant):
     """
-    Code is changed and its mutant is forgotten. Run months later it does not apply, and nobody has
-    noticed in the meantime that a promise is no longer shown to rest on its mechanism.
+    A mutant that is not updated with the source no longer applies. As mutants are run rarely, it
+    would go unnoticed for months that no test is shown to depend on the mechanism.
     """
     text = (mutants.ROOT / mutant.path).read_text()
     assert [text.count(old) for old, _ in mutant.edits] == [1] * len(mutant.edits)
@@ -25,6 +25,6 @@
     assert name in pathlib.Path(mutants.ROOT, file).read_text()
 
 
-def test_names_are_used_once():
+def test_names_are_unique():
     names = [mutant.name for mutant in ALL]
     assert sorted(set(names)) == sorted(names)
