--- a/tests/mortal.py
+++ b/tests/crashing_replica.py
@@ -12,18 +12,18 @@
 
 CRASH_MARKER = b"lethal"
 """A replica crashes when it runs a request whose target contains this."""
-AWAY_S = 0.6
+RESTART_DELAY_S = 0.6
 """Time from a replica's crash to its restart."""
 RUN_S = 0.02
 
 
-class Mortal:
+class ReplicaSlot:
     """A slot in which replicas run one after the other, each until it crashes."""
 
     def __init__(self, service, number, store, reached):
         self.service, self.number, self.store, self.reached = service, number, store, reached
         self.starts = 0
-        self.ends = 0
+        self.crashes = 0
 
     @contextlib.asynccontextmanager
     async def running(self):
@@ -52,10 +52,10 @@
             finally:
                 listener.close()
                 http_server.close()
-            self.ends += 1
-            await asyncio.sleep(AWAY_S / 2)
+            self.crashes += 1
+            await asyncio.sleep(RESTART_DELAY_S / 2)
             self.store.remove(f"servers/{name}")
-            await asyncio.sleep(AWAY_S / 2)
+            await asyncio.sleep(RESTART_DELAY_S / 2)
 
     async def _script(self, request, crashed):
         if CRASH_MARKER not in request.target:
--- a/tests/integration/test_requests_that_end_replicas.py
+++ b/tests/integration/test_requests_that_end_replicas.py
@@ -7,8 +7,8 @@
 import json
 import signal
 
+import crashing_replica
 import entry_process
-import mortal
 import pytest
 import standin_platform
 from typer import testing
@@ -34,7 +34,11 @@
         standin_platform.route("one", "/one/", Service="one"),
     ]
     services = [*SHARDS, "one"]
-    places = [mortal.Mortal(each, number, store, reached) for each in services for number in (0, 1)]
+    places = [
+        crashing_replica.ReplicaSlot(each, number, store, reached)
+        for each in services
+        for number in (0, 1)
+    ]
     async with contextlib.AsyncExitStack() as stack:
         for place in places:
             await stack.enter_async_context(place.running())
@@ -78,21 +82,21 @@
             numbers = iter(range(1000))
             ended = []
             async with asyncio.timeout(30):
-                while sum(place.ends for place in places) < 3:
+                while sum(place.crashes for place in places) < 3:
                     number = next(numbers)
                     request_id = b"before-%d" % number
                     ended.append(await attempt(instances[number % 3], path, request_id))
                     await asyncio.sleep(0.2)
             third_s = sorted(each for each, _ in reached)[2]
-            await asyncio.sleep(SPREAD_S + 2 * mortal.AWAY_S)
+            await asyncio.sleep(SPREAD_S + 2 * crashing_replica.RESTART_DELAY_S)
             for number in range(9):
                 status = await attempt(instances[number % 3], path, b"after-%d" % number)
                 ended.append(status)
-                await asyncio.sleep(mortal.AWAY_S + 0.2)
+                await asyncio.sleep(crashing_replica.RESTART_DELAY_S + 0.2)
             assert 200 not in ended
             later = {name for at_s, name in reached if at_s > third_s + SPREAD_S}
             assert len(later) <= MOST_AFTER
-            await asyncio.sleep(2 * mortal.AWAY_S)
+            await asyncio.sleep(2 * crashing_replica.RESTART_DELAY_S)
             for each in instances:
                 assert await attempt(each, path.replace(b"lethal", b"other"), b"other") == 200
 
