--- a/tests/direct/test_quarantine.py
+++ b/tests/direct/test_quarantine.py
@@ -67,12 +67,20 @@
 @pytest.mark.parametrize(
     ("replica", "draining", "removed", "crashes"),
     [
-        pytest.param(scripted.Ending(), False, False, 1, id="refuses connections"),
+        pytest.param(scripted.CrashingReplica(), False, False, 1, id="refuses connections"),
         pytest.param(
-            scripted.Ending(takes_connections=True), False, False, 0, id="reset connection"
+            scripted.CrashingReplica(accepts_connections=True),
+            False,
+            False,
+            0,
+            id="reset connection",
+        ),
+        pytest.param(
+            scripted.CrashingReplica(accepts_connections=True), False, True, 1, id="entry lost"
+        ),
+        pytest.param(
+            scripted.CrashingReplica(accepts_connections=True), True, True, 0, id="planned shutdown"
         ),
-        pytest.param(scripted.Ending(takes_connections=True), False, True, 1, id="entry lost"),
-        pytest.param(scripted.Ending(takes_connections=True), True, True, 0, id="planned shutdown"),
         pytest.param(
             scripted.Scripted(client.ExchangeError("unreadable response: x")),
             False,
@@ -113,7 +121,9 @@
         sender.replicas.put(scripted.entry("a", "s", born_ms=2))
         return list(sender.quarantine.table.records[Q].crashes)
 
-    assert run_scenario({"s": {"a": scripted.Ending(takes_connections=True)}}, scenario) == ["a@1"]
+    assert run_scenario(
+        {"s": {"a": scripted.CrashingReplica(accepts_connections=True)}}, scenario
+    ) == ["a@1"]
 
 
 def test_silence_and_a_lost_entry_are_a_crash():
@@ -136,7 +146,7 @@
     replica of each, it would take down the whole service; after the third crash nothing more is
     sent.
     """
-    scripts, changes = query(scripted.Ending)
+    scripts, changes = query(scripted.CrashingReplica)
 
     async def scenario(sender, call):
         return await answering.query_shards(sender, call)
@@ -166,7 +176,7 @@
 @pytest.mark.parametrize("part", range(1, len(SHARDS) + 1))
 def test_a_stalled_process_does_not_hedge_parts_of_crashed_replicas(part):
     """Hedges fell due during the stall and reached further replicas before crashes were known."""
-    scripts, changes = query(scripted.Ending)
+    scripts, changes = query(scripted.CrashingReplica)
 
     async def scenario(sender, call):
         stall_at(sender, part)
@@ -249,7 +259,7 @@
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_repeated_stalls_do_not_hedge_parts_of_crashed_replicas(seed):
     """Hedges fell due in one of several stalls and reached replicas before crashes were known."""
-    scripts, changes = query(scripted.Ending)
+    scripts, changes = query(scripted.CrashingReplica)
 
     async def scenario(sender, call):
         stall_often(sender, random.Random(seed))
@@ -259,7 +269,7 @@
     assert count_requests(scripts) <= len(SHARDS) + poison.CRASHES_TO_SUSPECT - 1
 
 
-class SlowToRefuse(scripted.Ending):
+class SlowToRefuse(scripted.CrashingReplica):
     """A replica that crashes on a request, and whose machine is slow to refuse connections."""
 
     async def connect(self):
@@ -288,7 +298,7 @@
     """
     scripts, changes = query(lambda: scripted.Scripted(0.02, GOOD))
     for shard in SHARDS[:4]:
-        scripts[shard][f"{shard}-0"] = scripted.Ending()
+        scripts[shard][f"{shard}-0"] = scripted.CrashingReplica()
 
     async def scenario(sender, call):
         return await answering.query_shards(sender, call)
@@ -310,7 +320,12 @@
             lambda: scripted.Scripted(GOOD), None, None, 1, poison.Verdict.ALLOWED, id="harmless"
         ),
         pytest.param(
-            scripted.Ending, "failed", 500, 1, poison.Verdict.QUARANTINED, id="crashes a replica"
+            scripted.CrashingReplica,
+            "failed",
+            500,
+            1,
+            poison.Verdict.QUARANTINED,
+            id="crashes a replica",
         ),
         pytest.param(
             lambda: scripted.Scripted(scripted.SHED),
@@ -352,7 +367,7 @@
     ("first", "outcome", "status"),
     [
         (lambda: scripted.Scripted(GOOD), "answered", 200),
-        (scripted.Ending, "failed", 500),
+        (scripted.CrashingReplica, "failed", 500),
         (lambda: scripted.Scripted(scripted.SHED), "refused", 503),
     ],
     ids=["harmless", "crashes a replica", "not run"],
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -86,15 +86,15 @@
         return Connection(self)
 
 
-class Ending(Scripted):
+class CrashingReplica(Scripted):
     """A replica that crashes when it runs a request and, by default, then refuses connections."""
 
-    def __init__(self, *script, takes_connections=False):
+    def __init__(self, *script, accepts_connections=False):
         super().__init__(*(script or [client.ConnectionLostError("connection closed")]))
-        self.takes_connections = takes_connections
+        self.accepts_connections = accepts_connections
 
     async def connect(self):
-        if self.requests and not self.takes_connections:
+        if self.requests and not self.accepts_connections:
             raise client.ConnectRefusedError("ConnectionRefusedError")
         return Connection(self)
 
