--- a/tests/direct/test_peers.py
+++ b/tests/direct/test_peers.py
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize(
     ("names", "batches"),
     [
-        (handing.FAR, [("x", "y")]),
+        (handing.REPLICAS_BY_SERVICE, [("x", "y")]),
         ({"x": ["near-1", "far-1"], "y": ["near-2"], "z": ["near-3"]}, []),
         ({"x": ["far-1"], "y": ["near-2"], "z": ["near-3"]}, []),
         ({"x": ["further-1"], "y": ["further-2"], "z": ["further-3"]}, []),
--- a/tests/handing.py
+++ b/tests/handing.py
@@ -94,13 +94,13 @@
     return sender
 
 
-FAR = {"x": ["far-1"], "y": ["far-2", "further-2"], "z": ["near-3", "far-3"]}
+REPLICAS_BY_SERVICE = {"x": ["far-1"], "y": ["far-2", "further-2"], "z": ["near-3", "far-3"]}
 
 
 def scripts(number_of=None):
     return {
         service: {name: scripted.Scripted(part(ord(service))) for name in names}
-        for service, names in FAR.items()
+        for service, names in REPLICAS_BY_SERVICE.items()
     }
 
 
