--- a/tests/integration/test_store_returns.py
+++ b/tests/integration/test_store_returns.py
@@ -58,7 +58,7 @@
 
 async def return_once(store, running, version):
     lost = store.restore_backup(3)
-    store.write_again(lost)
+    store.rewrite_lost(lost)
     return version
 
 
@@ -66,7 +66,7 @@
     for _ in range(2):
         lost = store.restore_backup(3)
         await asyncio.sleep(0.5)
-        store.write_again(lost)
+        store.rewrite_lost(lost)
     return version
 
 
@@ -75,7 +75,7 @@
     known = store.revision
     for each in running:
         each.signal(signal.SIGSTOP)
-    store.write_again(store.restore_backup(4))
+    store.rewrite_lost(store.restore_backup(4))
     configure(store, version + 1)
     while store.revision <= known:
         store.put("servers/i-filler", b"{}")
@@ -91,7 +91,7 @@
     lost = store.restore_backup(3)
     await running[1].start()
     await entry_process.until(lambda: entry_process.ready(running[1]))
-    store.write_again(lost)
+    store.rewrite_lost(lost)
     return version
 
 
@@ -172,7 +172,7 @@
                 names = {each.name for each in running}
                 await entry_process.until(lambda: entries(store) == names)
                 for _ in range(2):
-                    store.write_again(store.restore_backup(store.revision - before))
+                    store.rewrite_lost(store.restore_backup(store.revision - before))
                     assert not entries(store)
                     await entry_process.until(lambda: entries(store) == names, TOLD_S)
                 leases = {each["Lease"] for key, each in store.items.items() if "/inst" in key}
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -40,7 +40,7 @@
     async def main():
         async with connected() as (standin, store):
             write_entries(standin, 5)
-            standin.page = page
+            standin.page_size = page
             snapshot = await store.read_all(may_be_stale=False)
             assert len(snapshot.written) == 6
             assert snapshot.revision == standin.revision
@@ -59,7 +59,7 @@
     async def main():
         async with connected() as (standin, store):
             write_entries(standin, 5)
-            standin.page = 3
+            standin.page_size = 3
             standin.lags = [1, 4]
             snapshot = await store.read_all(may_be_stale=True)
             assert snapshot.revision == standin.revision - 4
@@ -177,7 +177,7 @@
     async def main():
         async with connected() as (standin, store):
             write_entries(standin, 5)
-            standin.page = 3
+            standin.page_size = 3
             standin.on_page = lambda: restore(standin)
             with pytest.raises(source.SourceError) as error:
                 await store.read_all(may_be_stale=False)
--- a/tests/soak/testbed.py
+++ b/tests/soak/testbed.py
@@ -149,7 +149,7 @@
             self.store.put("op/config", self.configuration)
         for key in lost.keys() - {"op/config"}:
             if key.startswith("op/"):
-                self.store.write_again({key: lost[key]})
+                self.store.rewrite_lost({key: lost[key]})
         self.publish_replicas(
             [replica for replica in self.replicas if f"servers/{replica.instance}" in lost]
         )
--- a/tests/standin_platform.py
+++ b/tests/standin_platform.py
@@ -43,7 +43,7 @@
         self.calls = []
         self.fault = None
         """``busy``: refuse calls; ``silent``: hang; ``lost``: apply calls, but send no response."""
-        self.page = 500
+        self.page_size = 500
         self.lags = []
         """For each of the next stale reads, by how many revisions the reported one is behind."""
         self.stale_reads = 0
@@ -125,7 +125,7 @@
         self._wake()
         return lost
 
-    def write_again(self, lost):
+    def rewrite_lost(self, lost):
         """Repeat lost writes, as the operator and the replicas do."""
         for key, content in lost.items():
             if content is None:
@@ -180,8 +180,8 @@
             for key in state.items
             if key.startswith(parameters.get("Prefix", "")) and key > parameters.get("after", "")
         )
-        items = [state.items[key] for key in keys[: self.page]]
-        has_more = len(keys) > self.page
+        items = [state.items[key] for key in keys[: self.page_size]]
+        has_more = len(keys) > self.page_size
         self.stale_reads += stale
         lag = self.lags.pop(0) if stale and self.lags else 0
         answer = {"items": items, "HasMore": has_more, "AsOf": state.revision - lag}
