--- a/tests/crashing_replica.py
+++ b/tests/crashing_replica.py
@@ -14,14 +14,14 @@
 """A replica crashes when it runs a request whose target contains this."""
 RESTART_DELAY_S = 0.6
 """Time from a replica's crash to its restart."""
-RUN_S = 0.02
+RUN_DURATION_S = 0.02
 
 
 class ReplicaSlot:
     """A slot in which replicas run one after the other, each until it crashes."""
 
-    def __init__(self, service, number, store, reached):
-        self.service, self.number, self.store, self.reached = service, number, store, reached
+    def __init__(self, service, number, store, crash_log):
+        self.service, self.number, self.store, self.crash_log = service, number, store, crash_log
         self.starts = 0
         self.crashes = 0
 
@@ -40,7 +40,7 @@
             self.starts += 1
             name = f"i-{self.service}-{self.number}-{self.starts}"
             body = bytes(14) + bytes([self.starts % 256, self.number])
-            replica = standin_platform.Replica(name, self.service, body, delay_s=RUN_S)
+            replica = standin_platform.Replica(name, self.service, body, delay_s=RUN_DURATION_S)
             crashed = asyncio.Event()
             replica.script = lambda request, crashed=crashed: self._script(request, crashed)
             http_server = server.Server(replica.handle, messages.Limits, 1000)
@@ -61,7 +61,7 @@
         if CRASH_MARKER not in request.target:
             return None
         now_s = asyncio.get_running_loop().time()
-        self.reached.append((now_s, request.header(b"x-request-id")))
-        await asyncio.sleep(RUN_S)
+        self.crash_log.append((now_s, request.header(b"x-request-id")))
+        await asyncio.sleep(RUN_DURATION_S)
         crashed.set()
         await asyncio.sleep(60)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -34,7 +34,7 @@
 CRASHES_TO_QUARANTINE = 3
 QUARANTINE_SPREAD_S = 1.0
 """Time within which every instance learns which request crashed replicas."""
-MAX_ATTEMPTS_AFTER = 3
+MAX_LATER_ATTEMPTS = 3
 """Limit for later attempts of that request that reach replicas, over all instances together."""
 PROPAGATION_S = 3.0
 """The tighter of the two bounds for a new configuration and for a draining replica."""
@@ -128,7 +128,7 @@
         await _send_lethal_request(testbed.instances[number % len(testbed.instances)])
         await asyncio.sleep(0.2)
     after = {request_id for _, request_id in testbed.crashes} - before
-    if len(after) > MAX_ATTEMPTS_AFTER:
+    if len(after) > MAX_LATER_ATTEMPTS:
         callers.violations.append(
             f"QUARANTINE: {len(after)} more attempts of a request that crashes replicas reached "
             "replicas"
--- a/tests/test_mutants_apply.py
+++ b/tests/test_mutants_apply.py
@@ -9,10 +9,10 @@
 import mutants_entry
 import pytest
 
-ALL = (*mutants_daemon.MUTANTS, *mutants_entry.MUTANTS)
+MUTANTS = (*mutants_daemon.MUTANTS, *mutants_entry.MUTANTS)
 
 
-@pytest.mark.parametrize("mutant", ALL, ids=lambda mutant: mutant.name)
+@pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
 def test_mutant_applies(mutant):
     """
     A mutant that is not updated with the source no longer applies. As mutants are run rarely, it
@@ -26,5 +26,5 @@
 
 
 def test_names_are_unique():
-    names = [mutant.name for mutant in ALL]
+    names = [mutant.name for mutant in MUTANTS]
     assert sorted(set(names)) == sorted(names)
