--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -1,4 +1,4 @@
-"""Mechanisms of entry instances that can be taken away."""
+"""Mutants that each disable a mechanism of entry instances."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
         "direct/test_budget.py::test_no_window_exceeds_the_allowance_of_all_instances",
     ),
     mutant.one(
-        "owners-share-alike",
+        "no-larger-share-for-owners",
         "direct/budget.py",
         "        return OWNERS_SLACK_SHARE / owners",
         "        return 1 / instances",
@@ -81,7 +81,7 @@
         "direct/test_attempts.py::test_hedges_count_towards_the_attempts_of_the_route",
     ),
     mutant.one(
-        "hedge-into-overload",
+        "hedge-when-every-replica-is-late",
         "direct/attempts.py",
         "    if other.has_late_attempt(now_s):",
         "    if not other.entry:",
@@ -95,21 +95,21 @@
         "integration/test_entry.py::test_an_address_that_was_taken_over_gets_nothing",
     ),
     mutant.one(
-        "configuration-goes-back",
+        "accept-an-older-configuration",
         "entry/view.py",
         "if current is not None and configuration.version <= current.version:",
         "if current is not None and configuration.version == current.version:",
         "entry/test_view.py::test_configuration_never_reverts",
     ),
     mutant.one(
-        "gone-at-once",
+        "remove-expired-entries-at-once",
         "entry/view.py",
         "            if new_era or hold and not isinstance(written.value, source.Evacuation):\n",
         "            if not key:\n",
         "entry/test_view.py::test_entries_that_expire_in_an_outage_are_held",
     ),
     mutant.one(
-        "history-lost-for-good",
+        "do-not-reread-after-lost-history",
         "entry/follower.py",
         "            position = None\n        except source_module.SourceError",
         "            position = position or source_module.Position(0, 0)\n"
@@ -117,7 +117,7 @@
         "entry/test_follower.py::test_follow_recovers_from_source_faults",
     ),
     mutant.one(
-        "drain-ignored",
+        "ignore-draining",
         "direct/replicas.py",
         "        return not replica.leaving and replica.entry",
         "        return replica.entry",
@@ -159,7 +159,7 @@
         "entry/test_relay.py::test_failing_relays_are_bypassed",
     ),
     mutant.one(
-        "write-what-is-no-longer-needed",
+        "send-unwanted-attempts",
         "direct/sending.py",
         "                if attempt.unwanted:\n                    return UNWANTED\n",
         "",
@@ -174,7 +174,7 @@
         "::test_a_batch_that_is_run_twice_reaches_no_more_replicas_than_allowed",
     ),
     mutant.one(
-        "lost-batch-is-not-moved",
+        "do-not-move-a-lost-batch",
         "direct/handover.py",
         "            if not completed and self._move_to_other_owner(sender, call, pending):",
         "            if False:",
@@ -195,35 +195,35 @@
         "platform/test_store.py::test_stale_read_has_the_revision_of_its_oldest_page",
     ),
     mutant.one(
-        "old-removals-count",
+        "apply-older-removals",
         "entry/view.py",
         "                if self._is_newer_removal(change):",
         "                if change.key in self._known:",
         "entry/test_view.py::test_removal_older_than_the_entry_is_ignored",
     ),
     mutant.one(
-        "news-told-plainly",
+        "relay-changes-uncompressed",
         "entry/relay_codec.py",
         "zlib.compress(content, 1) if len(content) > COMPRESSION_THRESHOLD_BYTES else content",
         "content",
         "entry/test_relay.py::test_large_configuration_is_relayed_compressed",
     ),
     mutant.one(
-        "store-asked-by-all-while-away",
+        "no-backoff-for-an-unreachable-store",
         "entry/relay.py",
         "        if has_relays and now_s < self._source_retry_at_s:",
         "        if False:",
         "entry/test_relay.py::test_unreachable_store_is_asked_with_backoff",
     ),
     mutant.one(
-        "one-relay-only",
+        "single-relay",
         "entry/relay.py",
         "RELAY_COUNT = 2\n",
         "RELAY_COUNT = 1\n",
         "entry/test_relay.py::test_second_relay_takes_over",
     ),
     mutant.one(
-        "nobody-is-missed",
+        "never-report-missing-peers",
         "entry/relay.py",
         "            return self.peer_liveness.find_silent(others, now_s)",
         "            return []",
@@ -237,21 +237,21 @@
         "policy/test_liveness.py::test_missing_peers",
     ),
     mutant.one(
-        "entry-written-once",
+        "do-not-retry-registration",
         "entry/follower.py",
         "            if registration.written:",
         "            if registration.written or registration.lease:",
         "entry/test_follower.py::test_failed_registration_is_retried",
     ),
     mutant.one(
-        "entry-never-taken-over",
+        "do-not-adopt-an-existing-entry",
         "entry/follower.py",
         "    lease = view.lease_of(own)",
         "    lease = None",
         "entry/test_follower.py::test_entry_of_previous_run_is_adopted",
     ),
     mutant.one(
-        "lost-history-is-everyones",
+        "reset-the-journal-after-lost-history",
         "entry/follower.py",
         "    if journal.position is None:",
         "    if True:",
@@ -265,7 +265,7 @@
         "entry/test_view.py::test_writes_after_a_restore_are_applied",
     ),
     mutant.one(
-        "changes-continue-over-a-restore",
+        "continue-changes-after-a-restore",
         "platform/store.py",
         "        if result.era != after.era:\n            raise source.HistoryLostError\n",
         "",
@@ -294,21 +294,21 @@
         "platform/test_store.py::test_changes_do_not_continue_over_a_restore",
     ),
     mutant.one(
-        "journal-answers-for-any-era",
+        "journal-serves-unknown-eras",
         "entry/journal.py",
         "        known = first <= after.revision <= last",
         "        known = True",
         "entry/test_journal.py::test_history_is_lost_for_unknown_positions",
     ),
     mutant.one(
-        "lease-trusted-after-a-return",
+        "keep-the-lease-after-a-restore",
         "entry/follower.py",
         "    registration.reset()\n\n\nasync def _end_lease",
         "\n\nasync def _end_lease",
         "entry/test_follower.py" "::test_registration_is_revalidated_after_restore",
     ),
     mutant.one(
-        "taken-out-for-good",
+        "do-not-remove-reappeared-entries",
         "entry/deregistration.py",
         "[*view.instance_entries(silent), *_reappeared(view, removed_entries)]",
         "[*view.instance_entries(silent)]",
@@ -324,7 +324,7 @@
         "::test_an_entry_that_was_taken_out_stays_out_when_the_store_has_returned[leaving]",
     ),
     mutant.one(
-        "stale-read-trusted-after-a-restore",
+        "trust-a-stale-read-after-a-restore",
         "platform/store.py",
         "        if not (may_be_stale and snapshot.era):",
         "        if snapshot:",
@@ -332,28 +332,28 @@
         "::test_stale_read_from_before_a_restore_does_not_hide_operators_writes",
     ),
     mutant.one(
-        "older-word-of-a-replica",
+        "apply-older-replica-entries",
         "direct/replicas.py",
         "entry.sequence < known.entry.sequence",
         "entry.sequence < 0",
         "entry/test_view.py::test_older_entry_does_not_end_draining",
     ),
     mutant.one(
-        "evacuation-lost-with-the-copy",
+        "drop-evacuations-missing-after-a-restore",
         "entry/view.py",
         "            if new_era or hold and",
         "            if hold and",
         "entry/test_view.py" "::test_evacuation_missing_from_a_copy_is_held_until_rewritten",
     ),
     mutant.one(
-        "missing-is-gone-after-a-return",
+        "remove-replicas-missing-after-a-restore",
         "entry/view.py",
         "self._era_changed_s = self._recovered_s = self._now_s()",
         "pass",
         "entry/test_view.py::test_replica_missing_from_a_copy_is_held_until_rewritten",
     ),
     mutant.one(
-        "same-margin-for-every-query",
+        "no-margin-per-shard",
         "direct/timing.py",
         "PARTIAL_MARGIN_MS + PARTIAL_MARGIN_PER_SHARD_MS * shards",
         "PARTIAL_MARGIN_MS",
@@ -367,14 +367,14 @@
         "direct/test_timing.py::test_answer_age_leaves_time_for_the_response",
     ),
     mutant.one(
-        "far-connections-ahead",
+        "prewarm-far-connections",
         "direct/replicas.py",
         "        if not (near and far):",
         "        if not near:",
         "direct/test_replicas.py::test_prewarmed_connections",
     ),
     mutant.one(
-        "every-count-kept",
+        "keep-every-value",
         "entry/sliding_maximum.py",
         "        while self._descending and self._descending[-1][1] <= value:\n"
         "            self._descending.pop()\n",
@@ -397,42 +397,42 @@
         "entry/test_callers.py::test_slow_start_limits_queries_after_a_start",
     ),
     mutant.one(
-        "misdirected-retried-like-shed",
+        "treat-misdirected-as-shed",
         "direct/tracking.py",
         "        replica.record_misdirected(now_s)\n",
         "        replica.shed_until_s = now_s + replica_module.SHED_BACKOFF_S\n",
         "direct/test_attempts.py::test_a_misdirected_replica_gets_no_more_requests",
     ),
     mutant.one(
-        "goals-from-arrival",
+        "measure-goals-from-arrival",
         "entry/callers.py",
         "began_s=min(request.began_s, sent_s - spent_ms / 1000),",
         "began_s=request.began_s,",
         "entry/test_callers.py::test_goal_counts_from_the_start_of_the_callers_timeout",
     ),
     mutant.one(
-        "started-again-is-the-same",
+        "keep-state-of-a-restarted-replica",
         "direct/replicas.py",
         "    return known.born_ms != entry.born_ms or endpoints[0] != endpoints[1]",
         "    return False",
         "entry/test_view.py::test_restarted_replica_keeps_no_state",
     ),
     mutant.one(
-        "older-start-comes-back",
+        "apply-entries-of-an-older-start",
         "entry/view.py",
         "        if self._is_from_older_start(written, known):\n            return\n",
         "",
         "entry/test_view.py::test_late_entry_of_an_older_start_is_ignored",
     ),
     mutant.one(
-        "unreadable-entry-leaves-the-good-one",
+        "keep-the-entry-when-the-new-one-is-unreadable",
         "entry/view.py",
         "            self._delete(unreadable.key, unreadable.revision)\n",
         "",
         "entry/test_view.py::test_replica_with_unreadable_entry_is_removed",
     ),
     mutant.one(
-        "pool-of-the-gone-lends",
+        "closed-pool-provides-connections",
         "direct/pool.py",
         "            if self.closed:\n                raise",
         "            if self.closed is None:\n                raise",
@@ -453,7 +453,7 @@
         "entry/test_callers.py::test_first_requests_wait_for_the_first_snapshot",
     ),
     mutant.one(
-        "shed-is-forgotten",
+        "ignore-the-shed-share",
         "direct/replicas.py",
         "        expected_ms *= 1 + SHED_FACTOR * replica.current_shed_share(now_s)\n",
         "",
@@ -474,14 +474,14 @@
         "direct/test_attempts.py::test_retries_after_every_replica_shed",
     ),
     mutant.one(
-        "wait-with-news-that-get-old",
+        "hold-changes-until-too-old",
         "entry/relay.py",
         "min(WAIT_S, int(wait_ms) / 1000, fresh_s)",
         "min(WAIT_S, int(wait_ms) / 1000)",
         "entry/test_relay.py::test_relay_replies_before_its_changes_are_too_old",
     ),
     mutant.one(
-        "late-queries-first",
+        "do-not-defer-late-queries",
         "policy/slow_start.py",
         "        return too_late, query.priority,",
         "        return False, query.priority,",
@@ -547,14 +547,14 @@
         "policy/test_poison.py::test_verdicts",
     ),
     mutant.one(
-        "crash-times-advance",
+        "update-known-crash-times",
         "policy/poison.py",
         "            self.crashes.setdefault(replica, at_s)",
         "            self.crashes[replica] = at_s",
         "policy/test_poison.py::test_a_time_sent_back_and_forth_does_not_advance",
     ),
     mutant.one(
-        "a-reset-is-a-crash",
+        "count-a-reset-as-a-crash",
         "direct/quarantine.py",
         "        if outcome.connection_lost and await self._refuses_connections(replica):",
         "        if outcome.connection_lost:",
@@ -596,7 +596,7 @@
         "entry/test_suspects.py::test_an_instance_that_was_cut_off_or_has_just_started_catches_up",
     ),
     mutant.one(
-        "leave-the-bound-regions",
+        "ignore-allowed-regions",
         "direct/placement.py",
         "        return regions is None or self.regions.get(data_centre) in regions",
         "        return True",
@@ -625,7 +625,7 @@
         "_region",
     ),
     mutant.one(
-        "write-after-an-evacuation",
+        "send-after-an-evacuation",
         "direct/sender.py",
         "        if replica.entry.data_centre in self.replicas.evacuated:\n"
         "            return replicas_module.EVACUATED\n",
@@ -634,14 +634,14 @@
         "::test_an_evacuation_redirects_requests_that_wait_for_a_connection",
     ),
     mutant.one(
-        "hold-an-evacuation-taken-back",
+        "hold-a-removed-evacuation",
         "entry/view.py",
         "            if new_era or hold and not isinstance(written.value, source.Evacuation):",
         "            if new_era or hold:",
         "entry/test_view.py::test_evacuation_lasts_until_its_key_is_removed",
     ),
     mutant.one(
-        "unused-warm-up-slots-are-kept",
+        "keep-unused-warm-up-slots",
         "policy/warm_up.py",
         "        return index >= 0 and now_s - slot_start_s < length_s"
         " and last_sent_s < slot_start_s",
@@ -649,14 +649,14 @@
         "policy/test_warm_up.py::" "test_unused_slots_of_an_idle_period_cause_no_burst",
     ),
     mutant.one(
-        "idle-connections-count-for-nothing",
+        "ignore-idle-connections",
         "direct/replicas.py",
         "        if not replica.pool.has_idle:\n",
         "        if not now_s + 1:\n",
         "direct/test_replicas.py" "::test_a_replica_with_an_idle_connection_is_preferred",
     ),
     mutant.one(
-        "fixed-pair-for-a-handed-over-part",
+        "fixed-replica-pair-for-a-handed-over-part",
         "direct/attempts.py",
         "    if not is_retry:\n",
         "    others = sender.replicas.eligible(service, call.route)\n"
