--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Known failures: listed in KNOWN-RED.txt, run and told, without failing the whole run."""
+"""Run the known failures in KNOWN-RED.txt and report them without failing the test run."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 import pytest
 
-KNOWN_RED = pathlib.Path(__file__).parents[1] / "KNOWN-RED.txt"
-_PREFIX = "test: "
+KNOWN_FAILURES_FILE = pathlib.Path(__file__).parents[1] / "KNOWN-RED.txt"
+_TEST_PREFIX = "test: "
 
 
 def known_failures():
-    """Return the tests that are listed, as pytest names them."""
-    if not KNOWN_RED.exists():
+    """Return the node ids of the listed tests."""
+    if not KNOWN_FAILURES_FILE.exists():
         return set()
-    lines = KNOWN_RED.read_text().splitlines()
-    return {line.removeprefix(_PREFIX) for line in lines if line.startswith(_PREFIX)}
+    lines = KNOWN_FAILURES_FILE.read_text().splitlines()
+    return {line.removeprefix(_TEST_PREFIX) for line in lines if line.startswith(_TEST_PREFIX)}
 
 
 def pytest_collection_modifyitems(items):
-    """Let the listed tests fail; one that passes stays listed until somebody takes it off."""
+    """Let the listed tests fail; one that passes stays listed until it is removed by hand."""
     listed = known_failures()
     for item in items:
         if item.nodeid in listed:
@@ -27,12 +27,12 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print the list, and how each of its tests has ended."""
+    """Print each listed test and its outcome."""
     listed = known_failures()
-    ended = {
+    outcomes = {
         report.nodeid: outcome
         for outcome in ("xfailed", "xpassed")
         for report in terminalreporter.stats.get(outcome, [])
     }
-    for name in sorted(listed):
-        terminalreporter.write_line(f"KNOWN RED: {name}: {ended.get(name, 'not run')}")
+    for node_id in sorted(listed):
+        terminalreporter.write_line(f"KNOWN RED: {node_id}: {outcomes.get(node_id, 'not run')}")
