--- a/src/turmericlug_entry.py
+++ b/src/turmericlug_entry.py
@@ -1,7 +1,7 @@
 """
-Program of an entry instance.
+Main program of an entry instance.
 
-It is located outside the package so that ``src``, not the package's folder, is first on the path.
+It lies outside the package so that ``src``, not the package's folder, comes first in ``sys.path``.
 """
 
 from __future__ import annotations
