--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -1,4 +1,4 @@
-"""Fleets of real processes for the integration tests."""
+"""Fixtures and helpers that run fleets of real processes and check their answers."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 SERVICES = (
     *(
-        fleet_spec.ServiceSpec(f"devis-{n:02d}", 2, 2, 25, 2.0, {"service_ms": 4.0})
-        for n in range(4)
+        fleet_spec.ServiceSpec(f"devis-{number:02d}", 2, 2, 25, 2.0, {"service_ms": 4.0})
+        for number in range(4)
     ),
     fleet_spec.ServiceSpec("billing", 2, 4, 45, 1.0, {"service_ms": 4.0}),
 )
-GROUPS = {"devis": [f"devis-{n:02d}" for n in range(4)]}
+GROUPS = {"devis": [f"devis-{number:02d}" for number in range(4)]}
 
 
 @pytest.fixture
-def play(tmp_path):
-    """Run a scenario against a fleet: ``play(scenario, **spec)``."""
+def run_scenario(tmp_path):
+    """Run a scenario against a fleet: ``run_scenario(scenario, **spec)``."""
 
-    def run(scenario, **changes):
-        spec = fleet_spec.FleetSpec(**{"services": SERVICES, "groups": GROUPS} | changes)
+    def run(scenario, **spec_fields):
+        spec = fleet_spec.FleetSpec(**{"services": SERVICES, "groups": GROUPS} | spec_fields)
 
         async def main():
             async with fleet_module.running(spec, tmp_path) as fleet:
@@ -38,50 +38,54 @@
     return run
 
 
-class Caller:
-    """Keeps an entry address for its lifetime, as callers do."""
+class AddressCaller:
+    """Caller that keeps an entry address for its lifetime, as real callers do."""
 
-    def __init__(self, fleet, number):
+    def __init__(self, fleet, index):
         self.fleet = fleet
-        self.name = list(fleet.daemons)[number % len(fleet.daemons)]
-        self.until_s = 0.0
+        self.instance = list(fleet.daemons)[index % len(fleet.daemons)]
+        self.expires_at_s = 0.0
 
-    async def entry(self):
-        if time.monotonic() >= self.until_s:
-            daemon = self.fleet.daemons[self.name]
+    async def entry_instance(self):
+        if time.monotonic() >= self.expires_at_s:
+            daemon = self.fleet.daemons[self.instance]
             url = f"http://{daemon.host}:{daemon.callers_port}/v1/addresses"
-            asked_at_s = time.monotonic()
+            requested_at_s = time.monotonic()
             async with self.fleet.http.get(url) as response:
-                plain = await response.json()
-            self.name = plain["addresses"][0]["instance"]
-            self.until_s = asked_at_s + plain["lifetime_ms"] / 1000
-        return self.name
+                answer = await response.json()
+            self.instance = answer["addresses"][0]["instance"]
+            self.expires_at_s = requested_at_s + answer["lifetime_ms"] / 1000
+        return self.instance
 
 
 @contextlib.asynccontextmanager
-async def traffic(fleet, answers, clients=4, through=None, moving=False, **fields):
+async def traffic(fleet, answers, clients=4, via=None, resolve_addresses=False, **fields):
     """
-    Keep clients asking for the length of the block; each answer goes to ``answers``.
+    Run clients that send queries until the block ends, and append the answers to ``answers``.
 
-    :param through: the daemons to ask in turn; all if not given
-    :param moving: ask for an entry address and keep it for its lifetime instead
+    :param via: the daemons to query in turn; all if not given
+    :param resolve_addresses: ask for an entry address and use it for its lifetime instead
     """
     stop = asyncio.Event()
-    names = through or list(fleet.daemons)
+    daemon_names = via or list(fleet.daemons)
 
-    async def client(number):
-        count = 0
-        caller = Caller(fleet, number)
+    async def client(client_index):
+        query_count = 0
+        caller = AddressCaller(fleet, client_index)
         while not stop.is_set():
-            name = await caller.entry() if moving else names[(number + count) % len(names)]
-            count += 1
-            mark = f"{number}.{count}"
+            daemon_name = (
+                await caller.entry_instance()
+                if resolve_addresses
+                else daemon_names[(client_index + query_count) % len(daemon_names)]
+            )
+            query_count += 1
+            mark = f"{client_index}.{query_count}"
             status, answer = await fleet.query(
-                name, **{"service": "devis", "body": {"mark": mark}, **fields}
+                daemon_name, **{"service": "devis", "body": {"mark": mark}, **fields}
             )
             answers.append((mark, status, answer))
 
-    tasks = [asyncio.create_task(client(number)) for number in range(clients)]
+    tasks = [asyncio.create_task(client(client_index)) for client_index in range(clients)]
     try:
         yield
     finally:
@@ -89,56 +93,60 @@
         await asyncio.gather(*tasks)
 
 
-async def eventually(check, limit_s=30.0):
-    """Wait until an async check gives something true; returns it."""
-    end_s = time.monotonic() + limit_s
+async def eventually(condition, timeout_s=30.0):
+    """Wait until an async condition returns a true value; return that value."""
+    deadline_s = time.monotonic() + timeout_s
     while True:
-        found = await check()
-        if found:
-            return found
-        assert time.monotonic() < end_s, "a condition did not come about"
+        value = await condition()
+        if value:
+            return value
+        assert time.monotonic() < deadline_s, "condition not met before the timeout"
         await asyncio.sleep(0.02)
 
 
-def key(name):
-    """Make an idempotency key."""
+def new_idempotency_key(name):
+    """Return an idempotency key that was created now."""
     return f"{int(time.time())}-{name}"
 
 
 def runs(fleet, text=""):
-    """Return the journal's runs whose request body holds a text."""
-    return [line for line in fleet.journal() if line.get("event") == "run" and text in line["body"]]
+    """Return the journal entries of runs whose request body contains a text."""
+    return [
+        entry for entry in fleet.journal() if entry.get("event") == "run" and text in entry["body"]
+    ]
 
 
 def check_refusals(fleet, answers):
-    """Check that nothing ran for any query that was refused."""
-    prefixes = {line["attempt"].split(".")[0].removesuffix("r") for line in runs(fleet)}
+    """Check that no refused query ran."""
+    query_ids = {entry["attempt"].split(".")[0].removesuffix("r") for entry in runs(fleet)}
     for answer in answers:
         if answer["outcome"] == "refused":
-            assert answer["query_id"] not in prefixes, f"called not run, but ran: {answer}"
+            assert (
+                answer["query_id"] not in query_ids
+            ), f"query was refused as not run, but ran: {answer}"
 
 
-def check_honest(fleet, answers):
-    """Check every answer: its own data, one snapshot, coverage as the journals have it."""
-    finished = {}
-    for line in fleet.journal():
-        if line.get("event") == "run":
-            finished[line["attempt"]] = line
+def check_answers(fleet, answers):
+    """Check each answer: only its own data, one snapshot, and coverage as the journals show it."""
+    runs_by_attempt = {}
+    for entry in fleet.journal():
+        if entry.get("event") == "run":
+            runs_by_attempt[entry["attempt"]] = entry
     check_refusals(fleet, [answer for _, _, answer in answers])
     for mark, _, answer in answers:
         body = f'{{"mark":"{mark}"}}'
         if "results" not in answer:
             continue
-        results = [item["result"] for item in answer["results"]]
+        results = [part["result"] for part in answer["results"]]
         assert {result["asked"]["mark"] for result in results} <= {mark}, answer
         assert {result["snapshot"] for result in results} <= {answer["snapshot"]}, answer
         coverage = answer["coverage"]
         assert coverage["answered"] == len(results)
         assert coverage["total"] == len(results) + len(coverage["missing"])
         for result in results:
-            ran = [
-                line
-                for line in finished.values()
-                if line["body"] == body and line["shard"] == result["shard"]
+            matching_runs = [
+                entry
+                for entry in runs_by_attempt.values()
+                if entry["body"] == body and entry["shard"] == result["shard"]
             ]
-            assert ran, f"no journal has this result: {result}"
+            assert matching_runs, f"no journal contains a run with this result: {result}"
--- a/tests/integration/test_at_most_once.py
+++ b/tests/integration/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""A request that may not be repeated runs at most once, and what callers hear of it is true."""
+"""Non-repeatable requests run at most once, and callers are told correctly whether they ran."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from integration import conftest
 
 
-async def ask(fleet, name, key, **fields):
+async def send_bill(fleet, daemon_name, key, **fields):
     fields = {"service": "billing", "body": {"bill": key}, "deadline_ms": 1500} | fields
-    return await fleet.query(name, idempotency_key=key, **fields)
+    return await fleet.query(daemon_name, idempotency_key=key, **fields)
 
 
-def check_once(fleet, keys, answers):
-    """No key ran twice; what was called not run did not; a result is the run's own."""
+def check_at_most_once(fleet, keys, answers):
+    """Check that no key ran twice, no refused key ran, and each complete answer has a run."""
     conftest.check_refusals(fleet, [answer for _, answer in answers])
     for key in keys:
-        ran = conftest.runs(fleet, f'"{key}"')
-        assert len(ran) <= 1, f"{key} ran {len(ran)} times"
-        heard = [answer for asked, answer in answers if asked == key]
-        if any(answer["outcome"] == "complete" for answer in heard):
-            assert len(ran) == 1
-        if heard and all(answer["outcome"] == "refused" for answer in heard):
-            assert not ran, f"{key} was called not run, but ran: {heard}"
+        key_runs = conftest.runs(fleet, f'"{key}"')
+        assert len(key_runs) <= 1, f"{key} ran {len(key_runs)} times instead of once at most"
+        key_answers = [answer for answered_key, answer in answers if answered_key == key]
+        if any(answer["outcome"] == "complete" for answer in key_answers):
+            assert len(key_runs) == 1
+        if key_answers and all(answer["outcome"] == "refused" for answer in key_answers):
+            assert not key_runs, f"{key} was refused as not run, but ran: {key_answers}"
 
 
 async def lose_answers(fleet):
@@ -68,14 +68,14 @@
 
 
 async def store_returns(fleet):
-    """Return twice in a row from a copy without the latest claims and outcomes."""
+    """Restore the store twice in a row from a backup without the latest claims and outcomes."""
     for writes in (4, 9):
         await fleet.control("platform", lose_writes=writes)
         await asyncio.sleep(0.4)
 
 
 async def store_returns_beside_a_kill(fleet):
-    """Return from a copy while an instance that knows what is lost ends."""
+    """Restore a backup while an instance that knows what is lost is killed."""
     await fleet.control("platform", store_down=True)
     fleet.signal("e2", signal.SIGKILL)
     await fleet.wait_exit("e2")
@@ -107,91 +107,91 @@
         store_returns_beside_a_kill,
     ],
 )
-def test_key_runs_once(play, fault):
+def test_key_runs_once(run_scenario, fault):
     """
-    The office sends bills, each with a key, and repeats a key at once on other instances, since
-    it heard nothing yet. Meanwhile the store loses answers, hangs, is down or returns from a copy,
-    an instance is frozen, replaced or killed, or targets die after the work is done. A second run
-    bills a homeowner twice; a "not run" of a bill that ran makes the office send it under a new
+    Callers send billing requests and repeat each key at once on other instances, as if no answer
+    had arrived. Meanwhile the store loses answers, hangs, is down or is restored from a backup, an
+    instance is frozen, replaced or killed, or targets die after the work is done. A second run
+    would bill twice; a request that ran but is reported as not run would be sent again under a new
     key.
     """
 
     async def scenario(fleet):
         answers, keys = [], []
-        going = True
+        sending = True
 
-        async def office(number):
-            count = 0
-            while going:
-                key = conftest.key(f"{number}.{count}")
-                count += 1
+        async def send_bills(caller_index):
+            sent = 0
+            while sending:
+                key = conftest.new_idempotency_key(f"{caller_index}.{sent}")
+                sent += 1
                 keys.append(key)
-                names = ["e1", "e3", "e2"][: 2 + count % 2]
-                asked = [ask(fleet, name, key) for name in names]
-                for found in await asyncio.gather(*asked, return_exceptions=True):
-                    # An instance that is killed or replaced ends connections: no answer.
-                    if not isinstance(found, Exception):
-                        answers.append((key, found[1]))
-
-        tasks = [asyncio.create_task(office(number)) for number in range(4)]
+                daemon_names = ["e1", "e3", "e2"][: 2 + sent % 2]
+                requests = [send_bill(fleet, daemon_name, key) for daemon_name in daemon_names]
+                for result in await asyncio.gather(*requests, return_exceptions=True):
+                    # A killed or replaced instance closes its connections without an answer.
+                    if not isinstance(result, Exception):
+                        answers.append((key, result[1]))
+
+        tasks = [asyncio.create_task(send_bills(caller_index)) for caller_index in range(4)]
         await asyncio.sleep(0.3)
         await fault(fleet)
         await asyncio.sleep(0.7)
-        going = False
+        sending = False
         await asyncio.gather(*tasks)
-        check_once(fleet, keys, answers)
+        check_at_most_once(fleet, keys, answers)
         assert any(answer["outcome"] == "complete" for _, answer in answers)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_repeat_gets_recorded_outcome(play):
+def test_repeat_gets_recorded_outcome(run_scenario):
     """
-    The answer to a bill is lost on its way. The office repeats the key through another instance,
-    later again after the first instance is gone: each time the outcome of the one run comes back.
+    The answer to a billing request is lost. The caller repeats the key through another instance,
+    and again after the first instance has died: each time it must get the outcome of the one run.
     """
 
     async def scenario(fleet):
-        key = conftest.key("kept")
-        _, first = await ask(fleet, "e1", key)
+        key = conftest.new_idempotency_key("kept")
+        _, first = await send_bill(fleet, "e1", key)
         assert first["outcome"] == "complete"
 
-        async def recorded():
-            _, answer = await ask(fleet, "e2", key)
+        async def recorded_answer():
+            _, answer = await send_bill(fleet, "e2", key)
             return answer["outcome"] == "complete" and answer
 
-        again = await conftest.eventually(recorded)
-        assert again["results"] == first["results"]
+        repeated = await conftest.eventually(recorded_answer)
+        assert repeated["results"] == first["results"]
         fleet.signal("e1", signal.SIGKILL)
         await fleet.wait_exit("e1")
-        _, later = await ask(fleet, "e3", key)
+        _, later = await send_bill(fleet, "e3", key)
         assert later["results"] == first["results"]
         assert len(conftest.runs(fleet, key)) == 1
-        _, other = await ask(fleet, "e3", key, body={"bill": "another"})
-        assert (other["outcome"], other["reason"]) == ("refused", "key_mismatch")
+        _, mismatched = await send_bill(fleet, "e3", key, body={"bill": "another"})
+        assert (mismatched["outcome"], mismatched["reason"]) == ("refused", "key_mismatch")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_refused_in_outage_then_runs(play):
+def test_refused_in_outage_then_runs(run_scenario):
     """
-    The store is down when a bill is sent: it is refused, "not run". After the outage the office
-    repeats the key, and now it has to run, once, although the claim may have been half made.
+    A billing request is sent while the store is down and is refused as not run. Repeated after the
+    outage, its key must run exactly once, although the claim may be half written.
     """
 
     async def scenario(fleet):
-        key = conftest.key("outage")
+        key = conftest.new_idempotency_key("outage")
         await fleet.control("platform", store_down=True)
-        _, answer = await ask(fleet, "e1", key)
+        _, answer = await send_bill(fleet, "e1", key)
         assert answer["outcome"] == "refused", answer
         assert answer["come_back_ms"] > 0
         await fleet.control("platform", store_down=False)
 
-        async def done():
-            _, found = await ask(fleet, "e2", key)
-            return found["outcome"] == "complete"
+        async def completed():
+            _, repeated = await send_bill(fleet, "e2", key)
+            return repeated["outcome"] == "complete"
 
-        await conftest.eventually(done)
+        await conftest.eventually(completed)
         assert len(conftest.runs(fleet, key)) == 1
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/integration/test_bad_input.py
+++ b/tests/integration/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input on every open port; the daemon goes on serving."""
+"""Malformed input on every port; the daemon keeps serving."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from turmericlug.wire import codec
 from turmericlug_lab import fleet as fleet_module
 
-CASES = [
+BAD_QUERIES = [
     ({}, "malformed"),
     ({"service": "nowhere"}, "unknown_service"),
     ({"service": "devis", "deadline_ms": 0}, "deadline_passed"),
@@ -33,29 +33,29 @@
 ]
 
 
-def test_callers_port(play):
-    """Each bad request gets a 4xx with its reason, and nothing runs."""
+def test_callers_port(run_scenario):
+    """Each invalid request gets a 4xx status with its reason, and nothing runs."""
 
     async def scenario(fleet):
-        for fields, reason in CASES:
+        for fields, reason in BAD_QUERIES:
             if fields.get("idempotency_key") == "now":
-                fields = fields | {"idempotency_key": conftest.key("now")}
+                fields = fields | {"idempotency_key": conftest.new_idempotency_key("now")}
             status, answer = await fleet.query("e1", **fields)
             assert 400 <= status < 500, (fields, status)
             assert (answer["outcome"], answer["reason"]) == ("rejected", reason), fields
         daemon = fleet.daemons["e1"]
         url = f"http://{daemon.host}:{daemon.callers_port}/v1/query"
-        for raw in (b"", b"{", b"[]", b"\xff\xfe", b"[" * 5000):
-            async with fleet.http.post(url, data=raw) as response:
+        for body in (b"", b"{", b"[]", b"\xff\xfe", b"[" * 5000):
+            async with fleet.http.post(url, data=body) as response:
                 assert response.status == 400
         assert not conftest.runs(fleet)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_operators_port(play):
-    """Without the token nothing is done; each bad edit is rejected with line and reason."""
-    cases = [
+def test_operators_port(run_scenario):
+    """Without the token nothing is done; each invalid edit is rejected with its line and reason."""
+    bad_edits = [
         ({"operation": "add", "text": "[rule a]\nthen_wrong = 1\n"}, "line 2: then_wrong"),
         ({"operation": "add", "text": "[rule a]\nwhen_x = 1\nthen_hedge = no"}, "line 2: when_x"),
         ({"operation": "add", "text": "[rule a]\nthen_deadline_ms = 0\n"}, "line 2: then_deadline"),
@@ -67,11 +67,11 @@
     ]
 
     async def scenario(fleet):
-        for plain, problem in cases:
-            status, answer = await fleet.operate("e1", "POST", "/v1/rules/edit", plain)
+        for payload, problem in bad_edits:
+            status, answer = await fleet.operate("e1", "POST", "/v1/rules/edit", payload)
             assert 400 <= status < 500
             assert answer["problems"][0].startswith(problem), answer
-        for method, path, plain in (
+        for method, path, payload in (
             ("POST", "/v1/rules/explain", {"priority": "x"}),
             ("POST", "/v1/rules/explain", {"headers": 3}),
             ("POST", "/v1/rules/explain", []),
@@ -79,13 +79,13 @@
             ("PUT", "/v1/catalog", {"services": 3}),
             ("GET", "/v1/nowhere", None),
         ):
-            status, answer = await fleet.operate("e1", method, path, plain)
+            status, answer = await fleet.operate("e1", method, path, payload)
             assert 400 <= status < 500 and answer["problems"], (path, status)
         text = "[rule all]\nthen_hedge = no\n"
         await fleet.operate("e1", "POST", "/v1/rules/edit", {"operation": "add", "text": text})
-        hidden = "# why\n[rule hidden]\nwhen_caller = x\nthen_hedge = no\n"
-        plain = {"operation": "add", "text": hidden}
-        status, answer = await fleet.operate("e1", "POST", "/v1/rules/edit", plain)
+        shadowed_rule = "# why\n[rule hidden]\nwhen_caller = x\nthen_hedge = no\n"
+        payload = {"operation": "add", "text": shadowed_rule}
+        status, answer = await fleet.operate("e1", "POST", "/v1/rules/edit", payload)
         assert answer["problems"] == [
             "line 2: hidden: can never match, all before it takes all of it"
         ]
@@ -95,26 +95,26 @@
             assert response.status == 401
         assert (await fleet.operate("e1", "GET", "/v1/rules"))[1]["revision"] == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def frames(rng):
-    """Make hostile byte strings: random, truncated, oversized, another protocol."""
-    hello = codec.envelope(0)
-    codec.fill(hello, "hello", protocol=99, proof=b"x" * 32, instance="spy")
-    wrong = codec.envelope(0)
-    codec.fill(wrong, "hello", protocol=1, proof=b"x" * 32, instance="spy")
+def hostile_payloads(rng):
+    """Return hostile byte strings: random, truncated, oversized, or of another protocol."""
+    wrong_protocol = codec.envelope(0)
+    codec.fill(wrong_protocol, "hello", protocol=99, proof=b"x" * 32, instance="spy")
+    wrong_key = codec.envelope(0)
+    codec.fill(wrong_key, "hello", protocol=1, proof=b"x" * 32, instance="spy")
     ping = codec.envelope(5)
     ping.init("ping")
-    intruder = codec.encode(wrong)
+    wrong_key_frame = codec.encode(wrong_key)
     return [
         b"",
         b"GET / HTTP/1.1\r\n\r\n",
         b"\xff\xff\xff\xff",
         b"\x08\x00\x00\x00" + b"\0" * 8,
-        codec.encode(hello),
-        intruder,
-        intruder[:-5],
+        codec.encode(wrong_protocol),
+        wrong_key_frame,
+        wrong_key_frame[:-5],
         codec.encode(ping),
         *(rng.randbytes(rng.randrange(1, 4000)) for _ in range(60)),
     ]
@@ -126,19 +126,19 @@
 
 
 @pytest.mark.parametrize("port", ["peers_port", "callers_port", "operators_port"])
-def test_random_bytes(play, port):
+def test_random_bytes(run_scenario, port):
     """
-    Someone scans the ports: random bytes, half frames, huge lengths, a peer with the wrong
-    cluster key or another version. Each connection ends, the log says why, callers notice nothing
-    and memory stays bounded.
+    A port scan sends random bytes, truncated frames, huge lengths, and hellos with the wrong
+    cluster key or another protocol version. Each connection must end, the log must say why, queries
+    must go on and memory must stay bounded.
     """
 
     async def scenario(fleet):
         daemon = fleet.daemons["e2"]
         rng = random.Random(7)
-        for data in frames(rng):
+        for payload in hostile_payloads(rng):
             reader, writer = await asyncio.open_connection(daemon.host, getattr(daemon, port))
-            writer.write(data)
+            writer.write(payload)
             writer.write_eof()
             try:
                 async with asyncio.timeout(5):
@@ -149,18 +149,18 @@
         status, answer = await fleet.query("e2", service="devis", body={"mark": "1"})
         assert (status, answer["outcome"]) == (200, "complete")
         if port == "peers_port":
-            reasons = {each.get("reason") for each in fleet.log("e2")}
+            reasons = {record.get("reason") for record in fleet.log("e2")}
             assert {"wrong_key", "wrong_protocol", "malformed"} <= reasons
         pid = fleet.processes["e2"].pid
         assert resident_bytes(pid) < 200e6
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_replayed_frame_ends_connection(play):
+def test_replayed_frame_ends_connection(run_scenario):
     """
-    A frame of an accepted peer arrives twice, as through a faulty middlebox. Run twice it would
-    double the work; the connection ends instead, and queries go on over the next one.
+    A frame of an accepted peer arrives twice, as through a faulty middlebox. Run twice, it would
+    double the work; the connection must end instead, and queries must go on over the next one.
     """
 
     async def scenario(fleet):
@@ -170,27 +170,27 @@
             await asyncio.sleep(1)
             await fleet.control("proxy/peers-e2", duplicate=False)
             await asyncio.sleep(0.5)
-        conftest.check_honest(fleet, answers)
+        conftest.check_answers(fleet, answers)
         _, status = await fleet.operate("e2", "GET", "/v1/status")
         assert status["instances"][0]["counters"].get("peer.rejected.bad_frame", 0) > 0
         for mark in {mark for mark, _, _ in answers}:
-            ran = conftest.runs(fleet, f'{{"mark":"{mark}"}}')
-            attempts = [line["attempt"] for line in ran]
+            mark_runs = conftest.runs(fleet, f'{{"mark":"{mark}"}}')
+            attempts = [entry["attempt"] for entry in mark_runs]
             assert len(set(attempts)) == len(attempts)
 
-    play(scenario, proxied=True)
+    run_scenario(scenario, proxied=True)
 
 
 def test_settings_are_checked_as_a_whole(tmp_path):
-    """Every error of a settings file is told in one report, and the exit code is 2."""
+    """All errors of a settings file are reported at once, with exit code 2."""
     import subprocess
     import sys
 
     path = tmp_path / "bad.ini"
     path.write_text("[instance]\nname = a\nport = 1\n[limits]\nmax_body_bytes = huge\n[odd]\n")
     command = [sys.executable, "-P", "-c", fleet_module._LAUNCHER["daemon"], str(path)]
-    done = subprocess.run([*command, "--check-settings"], capture_output=True, text=True)
-    assert done.returncode == 2
+    completed = subprocess.run([*command, "--check-settings"], capture_output=True, text=True)
+    assert completed.returncode == 2
     for problem in ("[odd]: unknown section", "port: unknown key", "max_body_bytes: 'huge'"):
-        assert problem in done.stderr
-    assert json.dumps(done.stderr).count("missing") >= 6
+        assert problem in completed.stderr
+    assert json.dumps(completed.stderr).count("missing") >= 6
--- a/tests/integration/test_entry.py
+++ b/tests/integration/test_entry.py
@@ -1,4 +1,4 @@
-"""Real entry instances against the stand-in of the platform."""
+"""Real entry instances against the stand-in platform."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @contextlib.asynccontextmanager
 async def platform():
-    """Run a store and two replicas of each service; yields both."""
+    """Run a store and two replicas of each service; yield both and the store's port."""
     store = standin_platform.Store()
     replicas = {}
     async with contextlib.AsyncExitStack() as stack:
@@ -41,20 +41,20 @@
         yield store, replicas, address[1]
 
 
-def configure(store, version, extra=()):
-    """Write a configuration version."""
+def configure(store, version, extra_routes=()):
+    """Write a version of the configuration."""
     routes = [
         standin_platform.route("all", "/all/", Gather=SHARDS, TopK=2, MinCoverage=0.6),
         standin_platform.route("any", "/any/", Gather=SHARDS, TopK=2, MinCoverage=0.3),
         standin_platform.route("one", "/one/", Service="one", RouteType="non_idempotent"),
-        *extra,
+        *extra_routes,
     ]
     services = [*SHARDS, "one"]
     store.put("op/config", standin_platform.configuration(version, routes, services))
 
 
 @contextlib.asynccontextmanager
-async def started(tmp_path, store_port, name="e-1", grace_s=3.0):
+async def running_instance(tmp_path, store_port, name="e-1", grace_s=3.0):
     """Run an instance until the block ends."""
     instance = entry_process.make(tmp_path, name, store_port, grace_s=grace_s)
     await instance.start()
@@ -65,12 +65,12 @@
         await instance.process.wait()
 
 
-def play(tmp_path, scenario, **options):
+def run_scenario(tmp_path, scenario, **instance_options):
     """Run a scenario with one instance."""
 
     async def main():
         async with platform() as (store, replicas, store_port):
-            async with started(tmp_path, store_port, **options) as instance:
+            async with running_instance(tmp_path, store_port, **instance_options) as instance:
                 await entry_process.until(lambda: entry_process.ready(instance))
                 async with asyncio.timeout(60):
                     await scenario(store, replicas, instance)
@@ -95,18 +95,20 @@
         assert (await entry_process.ask(instance.ports[0], b"/none/", b"q3")).status == 404
         await entry_process.until(lambda: any(key.endswith("/e-1") for key in store.items))
         target = b"/turmericlug/resolve?Name=h.example&Region=r-1&Zone=dc-1"
-        found = json.loads((await entry_process.ask(instance.ports[2], target, b"r")).body)
-        assert found["addrs"] == [f"127.0.0.1:{instance.ports[0]}"]
+        directory_answer = json.loads(
+            (await entry_process.ask(instance.ports[2], target, b"r")).body
+        )
+        assert directory_answer["addrs"] == [f"127.0.0.1:{instance.ports[0]}"]
         metrics = await entry_process.ask(instance.ports[3], b"/metrics", b"m")
         assert b"turmericlug_entry_answered 2" in metrics.body
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_new_configuration_is_in_force_at_once_and_through_lost_history(tmp_path):
     """
-    The operator adds a route while the store drops its history. Followed change by change only,
-    the instance would refuse the new route's callers for ever.
+    The operator adds a route while the store drops its history. If the instance only followed
+    single changes, it would refuse the new route's callers for ever.
     """
 
     async def scenario(store, replicas, instance):
@@ -119,11 +121,11 @@
             await entry_process.until(lambda: served(prefix.encode()))  # noqa: B023
         assert not await served(b"/new/")
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
-    ("words", "exit_code", "told"),
+    ("arguments", "exit_code", "expected_texts"),
     [
         (["status"], 0, ["e-1: ready, configuration version 1", "8 in use"]),
         (["explain", "h.example", "/all/1"], 0, ["route all, prefix /all/", "i-s2-1"]),
@@ -131,64 +133,64 @@
     ],
     ids=["status", "explain", "no route"],
 )
-def test_an_operator_asks_a_running_instance(tmp_path, words, exit_code, told):
+def test_an_operator_asks_a_running_instance(tmp_path, arguments, exit_code, expected_texts):
     async def scenario(store, replicas, instance):
         url = f"http://127.0.0.1:{instance.ports[3]}"
-        command = ["--url", url, "entry", *words]
+        command = ["--url", url, "entry", *arguments]
         runner = testing.CliRunner()
-        found = await asyncio.to_thread(runner.invoke, operators.application, command)
-        assert found.exit_code == exit_code
-        for each in told:
-            assert each in found.output
+        result = await asyncio.to_thread(runner.invoke, operators.application, command)
+        assert result.exit_code == exit_code
+        for text in expected_texts:
+            assert text in result.output
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def test_an_address_that_was_taken_over_gets_nothing(tmp_path):
     """
-    A replica ends and another service's replica starts at its address before the entry is gone.
-    Without the expected instance, a bill would be run by the wrong service.
+    A replica ends, and another service's replica starts at its address before the entry is removed.
+    Without the expected instance in the request, the wrong service would run it.
     """
 
     async def scenario(store, replicas, instance):
-        taken = replicas["i-one-0"]
-        taken.instance = "i-other"
+        replaced_replica = replicas["i-one-0"]
+        replaced_replica.instance = "i-other"
         for number in range(6):
             answer = await entry_process.ask(
                 instance.ports[0], b"/one/1", b"q%d" % number, method=b"POST"
             )
             assert answer.status == 200
-        assert not taken.runs
+        assert not replaced_replica.runs
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_lost_answer_to_a_request_that_must_not_run_twice(tmp_path):
     """
-    Every replica runs a bill and its answer is lost. The caller must not be told that it did not
-    run, and no second replica may get it.
+    Every replica runs a request that must not run twice and loses the answer. The caller must not
+    be told that it did not run, and no second replica may get it.
     """
 
     async def scenario(store, replicas, instance):
-        async def garbled(request):
-            replica = next(each for each in replicas.values() if each.service == "one")
+        async def lose_answer(request):
+            replica = next(replica for replica in replicas.values() if replica.service == "one")
             replica.runs.append(request.header(b"x-request-id"))
             return messages.Answer(200, ((b"x-request-id", b"other"),), b"x")
 
-        for each in replicas.values():
-            each.script = garbled
+        for replica in replicas.values():
+            replica.script = lose_answer
         answer = await entry_process.ask(instance.ports[0], b"/one/1", b"q1", method=b"POST")
         assert answer.status == 502
         assert sum(replica.runs.count(b"q1") for replica in replicas.values()) == 1
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_planned_stop_cuts_no_request(tmp_path):
     """
-    An instance gets SIGTERM while callers keep their connections and go on asking.
-    Each request that it has read is answered; the answers ask the callers to go elsewhere, the
-    directory forgets the instance, and readiness ends at once.
+    An instance gets SIGTERM while callers keep their connections and send requests. Each request
+    that it has read must be answered, the answers must close the connections, and directory and
+    readiness must drop the instance at once.
     """
 
     async def scenario(store, replicas, instance):
@@ -199,27 +201,28 @@
         request = client.request_bytes(
             b"GET", b"/all/1", [(b"host", b"h.example"), (b"x-request-id", b"q1")], b""
         )
-        under_way = asyncio.create_task(connection.exchange(request))
+        pending = asyncio.create_task(connection.exchange(request))
         await asyncio.sleep(0.02)
         instance.process.send_signal(signal.SIGTERM)
-        answer = await under_way
+        answer = await pending
         assert answer.status == 200
         await entry_process.until(lambda: not any(key.endswith("/e-1") for key in store.items))
         assert not await entry_process.ready(instance)
-        late = await entry_process.ask(instance.ports[0], b"/all/1", b"q2")
-        assert late.status == 200
-        assert late.header(b"connection") == b"close"
+        late_answer = await entry_process.ask(instance.ports[0], b"/all/1", b"q2")
+        assert late_answer.status == 200
+        assert late_answer.header(b"connection") == b"close"
         assert await instance.process.wait() == 0
         assert instance.lines("instance.stopped")
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("signaled", [True, False])
 def test_changed_settings_are_in_force_without_a_start(tmp_path, signaled):
     """
-    The grace period is made shorter in the settings of a running instance, with or without a
-    signal. It must leave within the new one, or the platform cuts off what it still answers.
+    The grace period is shortened in the settings of a running instance, with or without SIGHUP. The
+    instance must leave within the new period, or the platform cuts off the requests that it still
+    answers.
     """
 
     async def scenario(store, replicas, instance):
@@ -236,14 +239,14 @@
         (line,) = instance.lines("instance.leaving")
         assert line["grace_s"] == 1.25
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("fault", ["busy", "silent"])
 def test_the_store_goes_away_and_comes_back(tmp_path, fault):
     """
-    The store is away for some seconds; all leases lapse meanwhile, so that on its return every
-    replica seems gone for a moment. Callers are served all the while.
+    The store is away for some seconds and all leases expire, so that every replica seems gone for a
+    moment when it returns. Callers must be served throughout.
     """
 
     async def scenario(store, replicas, instance):
@@ -263,7 +266,7 @@
         await asyncio.sleep(2.5)
         assert await served()
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 async def _shed(request):
@@ -283,7 +286,7 @@
     ("script", "target", "status", "outcome", "cause"),
     [
         (_shed, b"/one/1", 503, "refused", "shed"),
-        # One shard is enough here: it takes the refusals of all of them to settle the query.
+        # One shard is enough here: the query is refused only once all shards have refused.
         (_shed, b"/any/1", 503, "refused", "shed"),
         (_failing, b"/one/1", 500, "failed", "replica_status_500"),
         (_failing, b"/all/1", 502, "failed", "replica_status_500"),
@@ -293,8 +296,8 @@
 )
 def test_the_log_names_the_injected_fault(tmp_path, script, target, status, outcome, cause):
     """
-    A caller complains of one request. The on-call engineer has its id and the logs only; the fault
-    that was injected must be what the walk through the lines ends at.
+    A caller complains about one request, and the on-call engineer has only its id and the logs. A
+    trace of the log lines must end at the injected fault.
     """
 
     async def scenario(store, replicas, instance):
@@ -308,7 +311,7 @@
         assert cause in _traced(instance).cause
         assert "configuration version 1" in _traced(instance).known_state[0]
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def _traced(instance):
@@ -317,15 +320,15 @@
 
 def test_the_log_names_a_lost_instance(tmp_path):
     """
-    An instance is killed with a request under way and started again. Nothing says so in the lines
-    of the request itself; the start without a stop does.
+    An instance is killed with a request in flight and restarted. The log lines of the request do
+    not show it; the start without a stop does.
     """
 
     async def main():
         async with platform() as (_, replicas, store_port):
             for replica in replicas.values():
                 replica.delay_s = 30.0
-            async with started(tmp_path, store_port) as instance:
+            async with running_instance(tmp_path, store_port) as instance:
                 await entry_process.until(lambda: entry_process.ready(instance))
                 request = asyncio.create_task(
                     entry_process.ask(instance.ports[0], b"/one/1", b"q1")
@@ -334,11 +337,11 @@
                 instance.process.kill()
                 await asyncio.gather(request, return_exceptions=True)
             (tmp_path / "again").mkdir()
-            async with started(tmp_path / "again", store_port) as again:
-                await entry_process.until(lambda: again.lines("instance.starting"))
-                texts = [each.log.read_text() for each in (instance, again)]
-                found = trace.trace(trace.parse("".join(texts).splitlines()), "q1")
-                assert found.outcome == "cut"
-                assert "was lost" in found.cause
+            async with running_instance(tmp_path / "again", store_port) as restarted:
+                await entry_process.until(lambda: restarted.lines("instance.starting"))
+                logs = [each_instance.log.read_text() for each_instance in (instance, restarted)]
+                trace_result = trace.trace(trace.parse("".join(logs).splitlines()), "q1")
+                assert trace_result.outcome == "cut"
+                assert "was lost" in trace_result.cause
 
     asyncio.run(main())
--- a/tests/integration/test_evacuation.py
+++ b/tests/integration/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Evacuated data centres and bound regions, with real entry instances and a stand-in store."""
+"""Evacuated data centres and region-bound routes, with entry instances and a stand-in store."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @contextlib.asynccontextmanager
 async def platform():
-    """Run a store, and a replica of each service in each data centre; yields both and the port."""
+    """Run a store, and a replica of each service in each data centre; yield both and the port."""
     store, replicas = standin_platform.Store(), []
     async with contextlib.AsyncExitStack() as stack:
         for service in [*SHARDS, "one"]:
@@ -42,97 +42,110 @@
         yield store, replicas, address[1]
 
 
-def play(tmp_path, scenario, instances=1):
+def run_scenario(tmp_path, scenario, instance_count=1):
     """Run a scenario with some instances in the first data centre."""
 
     async def main():
         async with platform() as (store, replicas, port), asyncio.timeout(90):
-            running = [
+            instances = [
                 entry_process.make(tmp_path, f"e-{number}", port, REGIONS)
-                for number in range(instances)
+                for number in range(instance_count)
             ]
             try:
-                for each in running:
-                    await each.start()
-                for each in running:
-                    await entry_process.until(lambda each=each: entry_process.ready(each))
-                await scenario(store, replicas, running)
+                for instance in instances:
+                    await instance.start()
+                for instance in instances:
+                    await entry_process.until(
+                        lambda instance=instance: entry_process.ready(instance)
+                    )
+                await scenario(store, replicas, instances)
             finally:
-                for each in running:
-                    each.signal(signal.SIGKILL)
-                    await each.process.wait()
+                for instance in instances:
+                    instance.signal(signal.SIGKILL)
+                    await instance.process.wait()
 
     asyncio.run(main())
 
 
-def runs(replicas, data_centre):
-    return sum(len(each.runs) for each in replicas if each.data_centre == data_centre)
+def run_count(replicas, data_centre):
+    return sum(len(replica.runs) for replica in replicas if replica.data_centre == data_centre)
 
 
-async def ask_often(instance, path, times=10):
-    """Ask the same often; returns the statuses."""
-    found = []
-    for number in range(times):
+async def send_repeatedly(instance, path, count=10):
+    """Send the same request several times; return the statuses."""
+    statuses = []
+    for number in range(count):
         headers = [(b"x-deadline-ms", b"2000")]
         answer = await entry_process.ask(instance.ports[0], path, b"q%d" % number, headers)
-        found.append(answer.status)
-    return found
+        statuses.append(answer.status)
+    return statuses
 
 
 @pytest.mark.parametrize("path", [b"/home/1", b"/homes/1"])
 def test_bound_routes_never_leave_their_region(tmp_path, path):
-    """A region's requests reached replicas of another, as these were nearer."""
+    """Requests bound to a region reached replicas of another region, as those were nearer."""
 
     async def scenario(store, replicas, instances):
-        assert set(await ask_often(instances[0], path)) == {200}
-        assert runs(replicas, "dc-1") == 0
+        assert set(await send_repeatedly(instances[0], path)) == {200}
+        assert run_count(replicas, "dc-1") == 0
         store.put("op/evacuate/dc-2", {})
         await entry_process.until(lambda: instances[0].lines("view.evacuated"))
-        assert set(await ask_often(instances[0], path)) == {503}
-        assert runs(replicas, "dc-1") == 0
+        assert set(await send_repeatedly(instances[0], path)) == {503}
+        assert run_count(replicas, "dc-1") == 0
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def test_evacuations_reach_running_and_restarted_instances(tmp_path):
     """
-    Replicas of an evacuated data centre go on getting requests: from the relay, from an instance
-    that asks it, from one that has just started, and from one whose relay has died.
+    Guards against replicas of an evacuated data centre that still get requests: from the relay,
+    from an instance that gets its configuration from it, from a restarted instance, and from one
+    whose relay has died.
     """
 
     async def scenario(store, replicas, instances):
-        async def kept_out(data_centre, running):
-            told = [len(each.lines("view.evacuated")) for each in running]
+        async def check_evacuation(data_centre, live_instances):
+            line_counts = [len(instance.lines("view.evacuated")) for instance in live_instances]
             store.put(f"op/evacuate/{data_centre}", {})
-            for each, before in zip(running, told, strict=True):
+            for instance, line_count in zip(live_instances, line_counts, strict=True):
                 await entry_process.until(
-                    lambda each=each, before=before: len(each.lines("view.evacuated")) > before
+                    lambda instance=instance, line_count=line_count: len(
+                        instance.lines("view.evacuated")
+                    )
+                    > line_count
                 )
-            before = runs(replicas, data_centre)
-            for each in running:
-                assert set(await ask_often(each, b"/all/1") + await ask_often(each, b"/one/1")) == {
-                    200
-                }
-            assert runs(replicas, data_centre) == before
-
-        await kept_out("dc-1", instances)
-        first = instances[0]
-        first.signal(signal.SIGKILL)
-        await first.process.wait()
-        await first.start()
-        await entry_process.until(lambda: entry_process.ready(first))
-        before = runs(replicas, "dc-1")
-        assert set(await ask_often(first, b"/all/1")) == {200}
-        assert runs(replicas, "dc-1") == before
+            runs_before = run_count(replicas, data_centre)
+            for instance in live_instances:
+                assert set(
+                    await send_repeatedly(instance, b"/all/1")
+                    + await send_repeatedly(instance, b"/one/1")
+                ) == {200}
+            assert run_count(replicas, data_centre) == runs_before
+
+        await check_evacuation("dc-1", instances)
+        restarted = instances[0]
+        restarted.signal(signal.SIGKILL)
+        await restarted.process.wait()
+        await restarted.start()
+        await entry_process.until(lambda: entry_process.ready(restarted))
+        runs_before = run_count(replicas, "dc-1")
+        assert set(await send_repeatedly(restarted, b"/all/1")) == {200}
+        assert run_count(replicas, "dc-1") == runs_before
         store.remove("op/evacuate/dc-1")
-        for each in instances:
-            await entry_process.until(lambda each=each: each.lines("view.evacuation_ended"))
-        for killed in instances:
-            killed.signal(signal.SIGKILL)
-            await killed.process.wait()
-            await kept_out("dc-2", [each for each in instances if each is not killed])
+        for instance in instances:
+            await entry_process.until(
+                lambda instance=instance: instance.lines("view.evacuation_ended")
+            )
+        for killed_instance in instances:
+            killed_instance.signal(signal.SIGKILL)
+            await killed_instance.process.wait()
+            await check_evacuation(
+                "dc-2", [instance for instance in instances if instance is not killed_instance]
+            )
             store.remove("op/evacuate/dc-2")
-            await killed.start()
-            await entry_process.until(lambda killed=killed: entry_process.ready(killed))
+            await killed_instance.start()
+            await entry_process.until(
+                lambda killed_instance=killed_instance: entry_process.ready(killed_instance)
+            )
 
-    play(tmp_path, scenario, instances=3)
+    run_scenario(tmp_path, scenario, instance_count=3)
--- a/tests/integration/test_leaving_target.py
+++ b/tests/integration/test_leaving_target.py
@@ -1,4 +1,4 @@
-"""A leaving or crashed target gets no new work after a few seconds, whatever platforms say."""
+"""A draining or crashed target gets no new work after seconds, whatever the platform reports."""
 
 from __future__ import annotations
 
@@ -8,40 +8,42 @@
 from integration import conftest
 
 
-def test_drain_with_lagging_list_and_lying_health(play):
+def test_drain_with_lagging_list_and_lying_health(run_scenario):
     """
-    A target drains. The instance list shows it as live for a minute more and its health endpoint
-    says "ok". Two seconds later nothing may reach it any more, although owners are replaced
-    meanwhile; and callers notice nothing.
+    A target drains, but the instance list shows it as live for another minute and its health
+    endpoint says "ok". After two seconds it must get no requests, although owners are replaced
+    meanwhile, and callers must notice nothing.
     """
 
     async def scenario(fleet):
         await fleet.control("platform", list_lag_ms=60000)
         answers = []
-        async with conftest.traffic(fleet, answers, clients=4, moving=True, deadline_ms=1500):
+        async with conftest.traffic(
+            fleet, answers, clients=4, resolve_addresses=True, deadline_ms=1500
+        ):
             await asyncio.sleep(0.5)
             await fleet.control("devis-01-r0", draining=True)
             await fleet.register("devis-01-r0", "critical")
             await asyncio.sleep(2)
-            before = (await fleet.report("devis-01-r0"))["received"]
-            for name in ("e1", "e2", "e3"):
-                fleet.signal(name, signal.SIGTERM)
-                await fleet.wait_exit(name)
-                fleet.start_daemon(name)
-                await fleet.ready(name)
+            received_before = (await fleet.report("devis-01-r0"))["received"]
+            for daemon_name in ("e1", "e2", "e3"):
+                fleet.signal(daemon_name, signal.SIGTERM)
+                await fleet.wait_exit(daemon_name)
+                fleet.start_daemon(daemon_name)
+                await fleet.ready(daemon_name)
                 await asyncio.sleep(1)
-            after = (await fleet.report("devis-01-r0"))["received"]
-        # Each new owner may have to find out once by itself, if nobody is left who knew.
-        assert after - before <= 3, "a draining target goes on getting work"
-        conftest.check_honest(fleet, answers)
+            received_after = (await fleet.report("devis-01-r0"))["received"]
+        # Each of the three new owners may have to find out with one request if no peer knows.
+        assert received_after - received_before <= 3, "a draining target still receives requests"
+        conftest.check_answers(fleet, answers)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_listed_as_leaving(play):
+def test_listed_as_leaving(run_scenario):
     """
-    The platform lists a target as leaving while it still takes work: it gets none any more after
-    the next read of the list.
+    The platform lists a target as leaving while the target still accepts work: after the next read
+    of the list it must get none.
     """
 
     async def scenario(fleet):
@@ -49,19 +51,19 @@
         async with conftest.traffic(fleet, answers, clients=4, deadline_ms=1500):
             await fleet.register("devis-02-r1", "critical")
             await asyncio.sleep(2)
-            before = (await fleet.report("devis-02-r1"))["received"]
+            received_before = (await fleet.report("devis-02-r1"))["received"]
             await asyncio.sleep(1)
-            after = (await fleet.report("devis-02-r1"))["received"]
-        assert after == before
+            received_after = (await fleet.report("devis-02-r1"))["received"]
+        assert received_after == received_before
         assert all(answer["outcome"] == "complete" for _, _, answer in answers)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_crashed_target(play):
+def test_crashed_target(run_scenario):
     """
-    One of two replicas of every index crashes; the list still shows it. Dispatchers go on getting
-    whole quotes from the other one, and attempts at the dead one become rare.
+    One of two replicas of every index crashes, but the list still shows it. Queries must complete
+    on the other one, and attempts at the crashed one must become rare.
     """
 
     async def scenario(fleet):
@@ -70,7 +72,7 @@
             await asyncio.sleep(0.5)
             fleet.signal("targets-1", signal.SIGKILL)
             await asyncio.sleep(3)
-            tail = len(answers)
+            settled_from = len(answers)
             await asyncio.sleep(1)
         _, status = await fleet.operate("e1", "GET", "/v1/status")
         ejected = [
@@ -80,10 +82,14 @@
             for target in service["targets"]
             if service["owned"] and target["ejected"]
         ]
-        dead = {each.name for each in fleet.targets.values() if each.process == "targets-1"}
-        used = {each.name for each in fleet.targets.values() if each.service != "billing"}
-        assert set(ejected) >= dead & used
-        assert all(answer["outcome"] == "complete" for _, _, answer in answers[tail:])
-        conftest.check_honest(fleet, answers)
+        crashed_targets = {
+            target.name for target in fleet.targets.values() if target.process == "targets-1"
+        }
+        queried_targets = {
+            target.name for target in fleet.targets.values() if target.service != "billing"
+        }
+        assert set(ejected) >= crashed_targets & queried_targets
+        assert all(answer["outcome"] == "complete" for _, _, answer in answers[settled_from:])
+        conftest.check_answers(fleet, answers)
 
-    play(scenario, target_processes=2)
+    run_scenario(scenario, target_processes=2)
--- a/tests/integration/test_requests_that_end_targets.py
+++ b/tests/integration/test_requests_that_end_targets.py
@@ -1,4 +1,4 @@
-"""A request that ends the targets that run it, before a fleet of instances."""
+"""A request that crashes every target that runs it, sent to a fleet of instances."""
 
 from __future__ import annotations
 
@@ -6,47 +6,48 @@
 
 from integration import conftest
 
-LETHAL = "lethal"
+CRASH_MARKER = "lethal"
 AWAY_S = 0.5
-SPREAD_S = 1.0
-MOST_AFTER = 3
-"""Attempts that may reach targets once the time to spread is over."""
+PROPAGATION_S = 1.0
+"""Time for every instance to learn what the others have observed."""
+MAX_LATER_ATTEMPTS = 3
+"""Attempts that may reach targets after ``PROPAGATION_S``."""
 
 
-def ends(fleet):
-    """Return which targets' journals tell of an end."""
-    return [line for line in fleet.journal() if line.get("event") == "ended"]
+def crashes(fleet):
+    """Return the crashes that the targets' journals record."""
+    return [entry for entry in fleet.journal() if entry.get("event") == "ended"]
 
 
-def test_a_request_that_ends_targets_is_held_back_by_all_instances(play):
+def test_a_request_that_ends_targets_is_held_back_by_all_instances(run_scenario):
     """
-    One query ends each target that runs it, and its caller repeats it at any instance. Each owner
-    retried it at the next target of its services, until none was left; now all owners together try
-    it a few times and then answer without sending it.
+    One query crashes each target that runs it, and its caller repeats it at any instance. Each
+    owner used to retry it at the next target of its services until none was left; now all owners
+    together must try it a few times and then answer without sending it.
     """
 
     async def scenario(fleet):
         for target in fleet.targets:
-            await fleet.control(target, lethal=LETHAL, away_s=AWAY_S)
-        names = list(fleet.daemons)
-        query = {"service": "devis", "body": {"mark": LETHAL}}
-        await fleet.query(names[0], **query)
-        while len(ends(fleet)) < 3:
-            await fleet.query(names[1], **query)
+            await fleet.control(target, lethal=CRASH_MARKER, away_s=AWAY_S)
+        daemon_names = list(fleet.daemons)
+        query = {"service": "devis", "body": {"mark": CRASH_MARKER}}
+        await fleet.query(daemon_names[0], **query)
+        while len(crashes(fleet)) < 3:
+            await fleet.query(daemon_names[1], **query)
             await asyncio.sleep(0.1)
-        await asyncio.sleep(SPREAD_S + 2 * AWAY_S)
-        before = len(ends(fleet))
-        reached = 0
+        await asyncio.sleep(PROPAGATION_S + 2 * AWAY_S)
+        crashes_before = len(crashes(fleet))
+        attempts_run = 0
         for number in range(12):
-            status, answer = await fleet.query(names[number % len(names)], **query)
+            status, answer = await fleet.query(daemon_names[number % len(daemon_names)], **query)
             assert status != 200
-            reached += len(ends(fleet)) > before
-            before = len(ends(fleet))
+            attempts_run += len(crashes(fleet)) > crashes_before
+            crashes_before = len(crashes(fleet))
             await asyncio.sleep(0.2)
-        assert reached <= MOST_AFTER
+        assert attempts_run <= MAX_LATER_ATTEMPTS
         await asyncio.sleep(2 * AWAY_S)
-        status, answer = await fleet.query(names[0], service="devis", body={"mark": "other"})
+        status, answer = await fleet.query(daemon_names[0], service="devis", body={"mark": "other"})
         assert (status, answer["outcome"]) == (200, "complete")
-        conftest.check_honest(fleet, [("other", status, answer)])
+        conftest.check_answers(fleet, [("other", status, answer)])
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/integration/test_samples.py
+++ b/tests/integration/test_samples.py
@@ -1,4 +1,4 @@
-"""The sample settings and catalogues of both users, started as they are but for the ports."""
+"""The sample settings and catalogues of both users, changed only in ports, URLs and a lifetime."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 @pytest.mark.parametrize("name", ["pluvia", "regie"])
-def test_sample_starts(play, tmp_path, name):
-    """A daemon with the sample's settings starts, takes the sample's catalogue, and stops."""
+def test_sample_starts(run_scenario, tmp_path, name):
+    """A daemon starts with the sample settings, accepts the sample catalogue, and stops."""
     parser = configparser.ConfigParser(interpolation=None)
     parser.read(SAMPLES / f"{name}.ini")
-    plain = json.loads((SAMPLES / f"{name}-catalog.json").read_text())
+    catalog = json.loads((SAMPLES / f"{name}-catalog.json").read_text())
 
     async def scenario(fleet):
         url = f"http://127.0.0.1:{fleet.platform_port}"
@@ -37,11 +37,11 @@
         token = parser["instance"]["operators_token"]
         async with fleet.http.put(
             f"http://127.0.0.1:{ports[2]}/v1/catalog",
-            json=plain,
+            json=catalog,
             headers={"Authorization": f"Bearer {token}"},
         ) as response:
             assert (await response.json())["outcome"] == "accepted"
-        group = next(iter(plain["groups"]))
+        group = next(iter(catalog["groups"]))
         body = {"service": group, "caller": "tests", "deadline_ms": 300}
         async with fleet.http.post(f"{base}/v1/query", json=body) as response:
             answer = await response.json()
@@ -49,13 +49,14 @@
         fleet.signal("sample", signal.SIGTERM)
         assert await fleet.wait_exit("sample") == 0
 
-    play(scenario, daemons=0, services=(), groups={})
+    run_scenario(scenario, daemons=0, services=(), groups={})
 
 
 def test_sizes_are_the_brief_s():
-    sizes = {}
+    """The sample catalogues have the required numbers of services and shards."""
+    group_sizes = {}
     for name in ("pluvia", "regie"):
-        plain = json.loads((SAMPLES / f"{name}-catalog.json").read_text())
-        sizes[name] = sorted(len(each) for each in plain["groups"].values())
-        assert len(plain["services"]) == 52
-    assert sizes == {"pluvia": [20, 30], "regie": [20, 30]}
+        catalog = json.loads((SAMPLES / f"{name}-catalog.json").read_text())
+        group_sizes[name] = sorted(len(shards) for shards in catalog["groups"].values())
+        assert len(catalog["services"]) == 52
+    assert group_sizes == {"pluvia": [20, 30], "regie": [20, 30]}
--- a/tests/integration/test_whole_path.py
+++ b/tests/integration/test_whole_path.py
@@ -1,17 +1,17 @@
-"""The whole path: caller, coordinator, owners, targets, in processes of their own."""
+"""End-to-end queries through caller, coordinator, owners and targets, in separate processes."""
 
 from __future__ import annotations
 
 from integration import conftest
 
 
-def test_query_and_rule(play):
+def test_query_and_rule(run_scenario):
     async def scenario(fleet):
         status, answer = await fleet.query("e1", service="devis", body={"mark": "1"})
         assert status == 200
         assert answer["outcome"] == "complete"
         assert answer["coverage"] == {"answered": 4, "total": 4, "missing": []}
-        conftest.check_honest(fleet, [("1", status, answer)])
+        conftest.check_answers(fleet, [("1", status, answer)])
         status, edit = await fleet.operate(
             "e2",
             "POST",
@@ -27,4 +27,4 @@
         assert (status, answer["outcome"], answer["reason"]) == (503, "refused", "no_time")
         assert not conftest.runs(fleet, '"3"')
 
-    play(scenario)
+    run_scenario(scenario)
