--- a/src/turmericlug/entry/inspection.py
+++ b/src/turmericlug/entry/inspection.py
@@ -96,7 +96,7 @@
     now_s = asyncio.get_running_loop().time()
     requests = [
         WithheldRequest(
-            request.hex(),
+            fingerprint.hex(),
             record.verdict(now_s).value,
             {
                 replica: round(now_s - at_s, 1)
@@ -104,19 +104,19 @@
             },
             view_module.rounded_age_s(now_s - record.quarantined_s),
         )
-        for request, record in quarantine.table.withheld(now_s)
+        for fingerprint, record in quarantine.table.withheld(now_s)
     ]
     return sorted(requests, key=lambda request: min(request.ends.values(), default=0.0))
 
 
 def _lift(quarantine: quarantine_module.Quarantine, content: bytes) -> messages.Response:
     try:
-        request = bytes.fromhex(content.decode("latin-1"))
+        fingerprint = bytes.fromhex(content.decode("latin-1"))
     except ValueError:
         return _answer({"problems": ["the content is not a hexadecimal number"]}, 400)
-    if not quarantine.lift(request):
+    if not quarantine.lift(fingerprint):
         return _answer({"problems": ["no request with this content is withheld"]}, 404)
-    return _answer({"lifted": request.hex()})
+    return _answer({"lifted": fingerprint.hex()})
 
 
 def status(name: str, view: view_module.View, ready: bool) -> Json:
--- a/src/turmericlug/entry/suspects.py
+++ b/src/turmericlug/entry/suspects.py
@@ -92,18 +92,18 @@
         self._wake = asyncio.Event()
         quarantine.on_update = self.schedule
 
-    def schedule(self, request: poison.Fingerprint) -> None:
+    def schedule(self, fingerprint: poison.Fingerprint) -> None:
         """Schedule a report: at once for a request that is or was withheld, else after a delay."""
         now_s = asyncio.get_running_loop().time()
         urgent = (
-            request in self._published
-            or self._quarantine.verdict(request) is not poison.Verdict.ALLOWED
+            fingerprint in self._published
+            or self._quarantine.verdict(fingerprint) is not poison.Verdict.ALLOWED
         )
         if urgent:
             # The verdict may change before the report is sent.
-            self._published.add(request)
+            self._published.add(fingerprint)
         due_s = now_s if urgent else now_s + FIRST_CRASH_DELAY_S
-        self._pending[request] = min(due_s, self._pending.get(request, due_s))
+        self._pending[fingerprint] = min(due_s, self._pending.get(fingerprint, due_s))
         self._wake.set()
 
     def merge_report(self, records: dict[poison.Fingerprint, poison.Record]) -> None:
@@ -113,12 +113,12 @@
         A change is forwarded if there are many instances, or if this one has reported the request.
         """
         forward = gossip.must_forward(len(self._peers))
-        for request, record in records.items():
-            if self._quarantine.merge_report(request, record) and (
-                forward or request in self._published
+        for fingerprint, record in records.items():
+            if self._quarantine.merge_report(fingerprint, record) and (
+                forward or fingerprint in self._published
             ):
-                self._published.add(request)
-                self.schedule(request)
+                self._published.add(fingerprint)
+                self.schedule(fingerprint)
 
     async def run_broadcast(self) -> None:
         """Send reports as they fall due, until cancelled."""
@@ -145,17 +145,17 @@
             return
 
     def _take_due(self, now_s: float) -> dict[poison.Fingerprint, poison.Record]:
-        due = [request for request, due_s in self._pending.items() if due_s <= now_s][
+        due = [fingerprint for fingerprint, due_s in self._pending.items() if due_s <= now_s][
             :MESSAGE_LIMIT
         ]
-        for request in due:
-            del self._pending[request]
+        for fingerprint in due:
+            del self._pending[fingerprint]
         table = self._quarantine.table
         return {
-            request: table.records[request]
-            for request in due
-            if request in table.records
-            and (request in self._published or table.records[request].recent_crashes(now_s))
+            fingerprint: table.records[fingerprint]
+            for fingerprint in due
+            if fingerprint in table.records
+            and (fingerprint in self._published or table.records[fingerprint].recent_crashes(now_s))
         }
 
     def _recipients(self) -> list[replica_module.Replica]:
--- a/src/turmericlug/owner/suspects.py
+++ b/src/turmericlug/owner/suspects.py
@@ -46,9 +46,9 @@
         self._reported: set[poison.Fingerprint] = set()
         """Requests that this instance has reported."""
 
-    def verdict(self, request: poison.Fingerprint) -> poison.Verdict:
+    def verdict(self, fingerprint: poison.Fingerprint) -> poison.Verdict:
         """Return the current verdict on a request."""
-        return self.table.verdict(request, time.monotonic())
+        return self.table.verdict(fingerprint, time.monotonic())
 
     def is_withheld(self, part: part_module.Part) -> bool:
         """Whether a part may go to no further target; a trial may until a target has run it."""
@@ -95,26 +95,26 @@
         elif part.on_trial and isinstance(outcome, target_module.NotRun):
             self.table.cancel_trial(part.fingerprint, time.monotonic())
 
-    def record_answer(self, request: poison.Fingerprint) -> None:
+    def record_answer(self, fingerprint: poison.Fingerprint) -> None:
         """Record that a target has answered a request."""
-        if self.table.record_answer(request, time.monotonic()):
+        if self.table.record_answer(fingerprint, time.monotonic()):
             self._counters.add("poison.cleared")
-            self._report(request)
+            self._report(fingerprint)
 
-    def record_crash(self, request: poison.Fingerprint, target: str, on_trial: bool) -> None:
+    def record_crash(self, fingerprint: poison.Fingerprint, target: str, on_trial: bool) -> None:
         """Record that a target crashed while it had a request."""
-        verdict_before = self.verdict(request)
-        self.table.record_crash(request, target, time.monotonic(), on_trial)
+        verdict_before = self.verdict(fingerprint)
+        self.table.record_crash(fingerprint, target, time.monotonic(), on_trial)
         self._counters.add("poison.ended")
-        self._log_verdict(request, verdict_before)
-        self._report(request)
+        self._log_verdict(fingerprint, verdict_before)
+        self._report(fingerprint)
 
-    def begin_trial(self, request: poison.Fingerprint) -> bool:
+    def begin_trial(self, fingerprint: poison.Fingerprint) -> bool:
         """Begin the trial of a suspected request; false while another one is in progress."""
-        if not self.table.begin_trial(request, time.monotonic()):
+        if not self.table.begin_trial(fingerprint, time.monotonic()):
             return False
         self._counters.add("poison.trial")
-        self._report(request)
+        self._report(fingerprint)
         return True
 
     def merge_message(self, message: bytes) -> bytes | None:
@@ -130,24 +130,24 @@
         except suspects_codec.MessageError as error:
             events.emit("poison.unreadable", "warning", reason=str(error))
             return None
-        for request, record in report.records.items():
-            self._merge_record(request, record, now_s)
+        for fingerprint, record in report.records.items():
+            self._merge_record(fingerprint, record, now_s)
         corrections = self.table.corrections(report.records, now_s)
         if not corrections:
             return None
         return suspects_codec.encode(suspects_codec.Suspects(corrections), now_s)
 
     def _merge_record(
-        self, request: poison.Fingerprint, record: poison.Record, now_s: float
+        self, fingerprint: poison.Fingerprint, record: poison.Record, now_s: float
     ) -> None:
         """Merge one record, and forward a change where that is required."""
-        verdict_before = self.verdict(request)
-        if not self.table.merge_report(request, record, now_s):
+        verdict_before = self.verdict(fingerprint)
+        if not self.table.merge_report(fingerprint, record, now_s):
             return
         self._counters.add("poison.learned")
-        self._log_verdict(request, verdict_before)
-        if request in self._reported or self._must_forward():
-            self._report(request)
+        self._log_verdict(fingerprint, verdict_before)
+        if fingerprint in self._reported or self._must_forward():
+            self._report(fingerprint)
 
     def expire(self) -> None:
         """Drop expired records."""
@@ -155,16 +155,18 @@
         self._reported &= self.table.records.keys()
         self._counters.add("poison.forgotten", expired)
 
-    def _log_verdict(self, request: poison.Fingerprint, verdict_before: poison.Verdict) -> None:
-        verdict = self.verdict(request)
+    def _log_verdict(self, fingerprint: poison.Fingerprint, verdict_before: poison.Verdict) -> None:
+        verdict = self.verdict(fingerprint)
         if verdict is not verdict_before:
             self._counters.add(f"poison.verdict.{verdict.value}")
-            crashes = sorted(self.table.records[request].crashes)
-            events.emit(f"poison.{verdict.value}", "warning", content=request.hex(), ends=crashes)
+            crashes = sorted(self.table.records[fingerprint].crashes)
+            events.emit(
+                f"poison.{verdict.value}", "warning", content=fingerprint.hex(), ends=crashes
+            )
 
-    def _report(self, request: poison.Fingerprint) -> None:
-        record = self.table.records.get(request)
+    def _report(self, fingerprint: poison.Fingerprint) -> None:
+        record = self.table.records.get(fingerprint)
         if record is not None:
-            self._reported.add(request)
-            report = suspects_codec.Suspects({request: record})
+            self._reported.add(fingerprint)
+            report = suspects_codec.Suspects({fingerprint: record})
             self._broadcast(suspects_codec.encode(report, time.monotonic()))
--- a/src/turmericlug/policy/poison.py
+++ b/src/turmericlug/policy/poison.py
@@ -162,31 +162,31 @@
         self._answered_s: collections.OrderedDict[Fingerprint, float] = collections.OrderedDict()
         """Time of the last answer to each request, also to those without a record."""
 
-    def verdict(self, request: Fingerprint, now_s: float) -> Verdict:
+    def verdict(self, fingerprint: Fingerprint, now_s: float) -> Verdict:
         """Return the verdict on a request."""
-        record = self.records.get(request)
+        record = self.records.get(fingerprint)
         return Verdict.ALLOWED if record is None else record.verdict(now_s)
 
-    def is_answered(self, request: Fingerprint, now_s: float) -> bool:
+    def is_answered(self, fingerprint: Fingerprint, now_s: float) -> bool:
         """Whether the request was answered within the TTL of answers."""
-        record = self.records.get(request)
+        record = self.records.get(fingerprint)
         answered_s = max(
-            self._answered_s.get(request, -math.inf),
+            self._answered_s.get(fingerprint, -math.inf),
             record.answered_s if record is not None else -math.inf,
         )
         return answered_s >= now_s - ANSWER_TTL_S
 
-    def record_answer(self, request: Fingerprint, now_s: float) -> bool:
+    def record_answer(self, fingerprint: Fingerprint, now_s: float) -> bool:
         """
         Record an answer of a replica to a request.
 
         :returns: whether this cleared a suspected or quarantined request
         """
-        self._answered_s[request] = now_s
-        self._answered_s.move_to_end(request)
+        self._answered_s[fingerprint] = now_s
+        self._answered_s.move_to_end(fingerprint)
         if len(self._answered_s) > MAX_ANSWERED:
             self._answered_s.popitem(last=False)
-        record = self.records.get(request)
+        record = self.records.get(fingerprint)
         if record is None:
             return False
         cleared = record.verdict(now_s) is not Verdict.ALLOWED
@@ -194,7 +194,7 @@
         return cleared
 
     def record_crash(
-        self, request: Fingerprint, replica: str, now_s: float, on_trial: bool
+        self, fingerprint: Fingerprint, replica: str, now_s: float, on_trial: bool
     ) -> Verdict:
         """
         Record the crash of a replica that had a request.
@@ -202,9 +202,9 @@
         :param on_trial: whether the request was sent to the replica as a trial
         :returns: the new verdict on the request
         """
-        if self.is_answered(request, now_s):
+        if self.is_answered(fingerprint, now_s):
             return Verdict.ALLOWED
-        record = self._record(request, now_s)
+        record = self._record(fingerprint, now_s)
         record.expire(now_s)
         record.merge(Record({replica: now_s}))
         if on_trial:
@@ -212,47 +212,47 @@
             record.quarantines += 1
         return record.verdict(now_s)
 
-    def begin_trial(self, request: Fingerprint, now_s: float) -> bool:
+    def begin_trial(self, fingerprint: Fingerprint, now_s: float) -> bool:
         """Begin a trial of a suspected request; false while another one is in progress."""
-        record = self.records[request]
+        record = self.records[fingerprint]
         if now_s < record.trial_until_s:
             return False
         record.trial_until_s = now_s + TRIAL_TIMEOUT_S
         return True
 
-    def cancel_trial(self, request: Fingerprint, now_s: float) -> None:
+    def cancel_trial(self, fingerprint: Fingerprint, now_s: float) -> None:
         """End a trial that no replica has run, so that another one may begin."""
-        record = self.records.get(request)
+        record = self.records.get(fingerprint)
         if record is not None:
             record.trial_until_s = min(record.trial_until_s, now_s)
 
-    def lift(self, request: Fingerprint, now_s: float) -> bool:
+    def lift(self, fingerprint: Fingerprint, now_s: float) -> bool:
         """Allow a request as if it had been answered; false if it is allowed already."""
-        if self.verdict(request, now_s) is Verdict.ALLOWED:
+        if self.verdict(fingerprint, now_s) is Verdict.ALLOWED:
             return False
-        self.records[request].answered_s = now_s
+        self.records[fingerprint].answered_s = now_s
         return True
 
-    def merge_report(self, request: Fingerprint, reported: Record, now_s: float) -> bool:
+    def merge_report(self, fingerprint: Fingerprint, reported: Record, now_s: float) -> bool:
         """
         Merge the record of another instance.
 
         :returns: whether it changed what must be reported
         """
-        if reported.is_expired(now_s) and request not in self.records:
+        if reported.is_expired(now_s) and fingerprint not in self.records:
             return False
-        record = self._record(request, now_s)
-        record.answered_s = max(record.answered_s, self._answered_s.get(request, -math.inf))
+        record = self._record(fingerprint, now_s)
+        record.answered_s = max(record.answered_s, self._answered_s.get(fingerprint, -math.inf))
         record.expire(now_s)
         before = record.summary(now_s)
         record.merge(attrs.evolve(reported, crashes=reported.recent_crashes(now_s)))
         return record.summary(now_s) != before
 
-    def has_newer_answer(self, request: Fingerprint, reported: Record, now_s: float) -> bool:
+    def has_newer_answer(self, fingerprint: Fingerprint, reported: Record, now_s: float) -> bool:
         """Whether this instance knows an answer that refutes another instance's report."""
         if not (reported.recent_crashes(now_s) or reported.verdict(now_s) is not Verdict.ALLOWED):
             return False
-        return self.records[request].answered_s > reported.answered_s + TIME_TOLERANCE_S
+        return self.records[fingerprint].answered_s > reported.answered_s + TIME_TOLERANCE_S
 
     def corrections(
         self, records: dict[Fingerprint, Record], now_s: float
@@ -264,33 +264,37 @@
         answered at all instances, and otherwise each of them would inform all others.
         """
         return {
-            request: self.records[request]
-            for request, reported in records.items()
-            if request in self.records and self.has_newer_answer(request, reported, now_s)
+            fingerprint: self.records[fingerprint]
+            for fingerprint, reported in records.items()
+            if fingerprint in self.records and self.has_newer_answer(fingerprint, reported, now_s)
         }
 
     def expire(self, now_s: float) -> int:
         """Drop records without effect; returns how many there were."""
-        expired = [request for request, record in self.records.items() if record.is_expired(now_s)]
-        for request in expired:
-            del self.records[request]
+        expired = [
+            fingerprint for fingerprint, record in self.records.items() if record.is_expired(now_s)
+        ]
+        for fingerprint in expired:
+            del self.records[fingerprint]
         return len(expired)
 
     def withheld(self, now_s: float) -> abc.Iterator[tuple[Fingerprint, Record]]:
         """Return the requests that are suspected or quarantined."""
-        for request, record in self.records.items():
+        for fingerprint, record in self.records.items():
             if record.verdict(now_s) is not Verdict.ALLOWED:
-                yield request, record
+                yield fingerprint, record
 
-    def _record(self, request: Fingerprint, now_s: float) -> Record:
-        if request not in self.records:
+    def _record(self, fingerprint: Fingerprint, now_s: float) -> Record:
+        if fingerprint not in self.records:
             if len(self.records) >= MAX_RECORDS:
                 self._evict(now_s)
-            self.records[request] = Record()
-        return self.records[request]
+            self.records[fingerprint] = Record()
+        return self.records[fingerprint]
 
     def _evict(self, now_s: float) -> None:
         """Drop the oldest record, one of a withheld request only if there is no other."""
-        withheld = {request for request, _ in self.withheld(now_s)}
-        oldest = next((request for request in self.records if request not in withheld), None)
+        withheld = {fingerprint for fingerprint, _ in self.withheld(now_s)}
+        oldest = next(
+            (fingerprint for fingerprint in self.records if fingerprint not in withheld), None
+        )
         self.records.pop(oldest if oldest is not None else next(iter(self.records)))
--- a/src/turmericlug/wire/suspects_codec.py
+++ b/src/turmericlug/wire/suspects_codec.py
@@ -40,7 +40,7 @@
         wantsAll=suspects.wants_all,
         requests=[
             {
-                "content": request,
+                "content": fingerprint,
                 "ends": [
                     {"replica": replica, "ageMs": _age_ms(at_s, now_s)}
                     for replica, at_s in record.crashes.items()
@@ -50,7 +50,7 @@
                 "quarantines": record.quarantines,
                 "trialLeftMs": _left_ms(record.trial_until_s, now_s),
             }
-            for request, record in suspects.records.items()
+            for fingerprint, record in suspects.records.items()
         ],
     )
     return message.to_bytes_packed()
--- a/tests/entry/test_suspects.py
+++ b/tests/entry/test_suspects.py
@@ -82,10 +82,10 @@
                     )
                 )
 
-    def crash(self, replica, on_trial=False, request=FINGERPRINT):
+    def crash(self, replica, on_trial=False, fingerprint=FINGERPRINT):
         """Observe the crash of a replica."""
         crashed = replica_module.Replica(scripted.entry(replica), None)
-        self.quarantine._record_crash(request, crashed, on_trial)
+        self.quarantine._record_crash(fingerprint, crashed, on_trial)
 
     def verdict(self):
         return self.quarantine.verdict(FINGERPRINT)
@@ -220,7 +220,7 @@
             for replica in range(12):
                 instance.crash(f"r{number}-{replica}")
             for request in range(10):
-                instance.crash(f"r{number}", request=b"beside-%d-%d" % (number, request))
+                instance.crash(f"r{number}", fingerprint=b"beside-%d-%d" % (number, request))
         await asyncio.sleep(0.5)
         assert {instance.verdict() for instance in instances} == {poison.Verdict.SUSPECTED}
         call = scripted.make_call()
@@ -273,8 +273,8 @@
     decoded = suspects_codec.decode(message, 1000.0)
     assert decoded.wants_all is wants_all
     assert decoded.records.keys() == records.keys()
-    for request, record in records.items():
-        found = decoded.records[request]
+    for fingerprint, record in records.items():
+        found = decoded.records[fingerprint]
         assert found.crashes == pytest.approx(record.crashes, abs=0.001)
         assert found.quarantines == record.quarantines
         times = [
--- a/tests/mutants_entry.py
+++ b/tests/mutants_entry.py
@@ -584,8 +584,8 @@
     mutant.one(
         "do-not-forward-reports",
         "entry/suspects.py",
-        "                forward or request in self._published\n",
-        "                request in self._published\n",
+        "                forward or fingerprint in self._published\n",
+        "                fingerprint in self._published\n",
         "entry/test_suspects.py::test_crashes_observed_by_different_instances_reach_all",
     ),
     mutant.one(
--- a/tests/policy/fleet_model.py
+++ b/tests/policy/fleet_model.py
@@ -20,7 +20,7 @@
 FIRST_CRASH_DELAY_S = 0.2
 """Delay of the report of a first crash."""
 POISON = b"lethal"
-"""The request that crashes each replica that runs it."""
+"""Fingerprint of the request that crashes each replica that runs it."""
 RETRY_AFTER_S = 0.05
 
 
@@ -50,7 +50,7 @@
 class Query:
     """One attempt by a caller."""
 
-    request: bytes
+    fingerprint: bytes
     instance: int
     attempt: int
     open_parts: int = 0
@@ -90,29 +90,29 @@
 
     # Callers
 
-    def submit(self, request, attempt=0):
-        self.requests += request != POISON and not attempt
-        query = Query(request, self.rng.randrange(len(self.tables)), attempt)
+    def submit(self, fingerprint, attempt=0):
+        self.requests += fingerprint != POISON and not attempt
+        query = Query(fingerprint, self.rng.randrange(len(self.tables)), attempt)
         table = self.tables[query.instance]
-        verdict = table.verdict(request, self.now_s)
+        verdict = table.verdict(fingerprint, self.now_s)
         if verdict is poison.Verdict.QUARANTINED:
-            self.rejected += request != POISON
+            self.rejected += fingerprint != POISON
         elif verdict is poison.Verdict.ALLOWED:
             self.send_all(query)
-        elif table.begin_trial(request, self.now_s):
-            self.broadcast(query.instance, request)
+        elif table.begin_trial(fingerprint, self.now_s):
+            self.broadcast(query.instance, fingerprint)
             self.run_trial(query)
         else:
             self.schedule(0.02, self.poll_trial, query, self.now_s + 0.25)
 
     def poll_trial(self, query, until_s):
-        verdict = self.tables[query.instance].verdict(query.request, self.now_s)
+        verdict = self.tables[query.instance].verdict(query.fingerprint, self.now_s)
         if verdict is poison.Verdict.SUSPECTED and self.now_s < until_s:
             self.schedule(0.02, self.poll_trial, query, until_s)
         elif verdict is poison.Verdict.ALLOWED:
             self.send_all(query)
         else:
-            self.rejected += query.request != POISON
+            self.rejected += query.fingerprint != POISON
 
     def send_all(self, query):
         for shard in range(SHARDS):
@@ -122,12 +122,12 @@
     def run_trial(self, query):
         shard = self.rng.randrange(SHARDS)
         if not self.send(query, shard, 1, on_trial=True):
-            self.tables[query.instance].cancel_trial(query.request, self.now_s)
+            self.tables[query.instance].cancel_trial(query.fingerprint, self.now_s)
             self.retry(query)
 
     def retry(self, query):
         if query.attempt == 0:
-            self.schedule(RETRY_AFTER_S, self.submit, query.request, 1)
+            self.schedule(RETRY_AFTER_S, self.submit, query.fingerprint, 1)
 
     def retry_if_unanswered(self, query):
         if not query.open_parts and not query.answered:
@@ -143,7 +143,7 @@
         part = Part(query, shard, replica, attempt, on_trial)
         replica.parts.add(part)
         query.open_parts += 1
-        if query.request == POISON:
+        if query.fingerprint == POISON:
             if not query.reached:
                 self.poison_reached_s.append(self.now_s)
             query.reached = True
@@ -160,8 +160,8 @@
         query = part.query
         query.open_parts -= 1
         query.answered += 1
-        if self.tables[query.instance].record_answer(query.request, self.now_s):
-            self.broadcast(query.instance, query.request)
+        if self.tables[query.instance].record_answer(query.fingerprint, self.now_s):
+            self.broadcast(query.instance, query.fingerprint)
         if part.on_trial:
             self.send_all(query)
 
@@ -170,7 +170,7 @@
             return
         replica.up = False
         parts, replica.parts = replica.parts, set()
-        if any(part.query.request == POISON for part in parts):
+        if any(part.query.fingerprint == POISON for part in parts):
             self.crashes_s.append(self.now_s)
         for part in parts:
             part.done = True
@@ -185,12 +185,12 @@
         query = part.query
         query.open_parts -= 1
         table = self.tables[query.instance]
-        verdict = table.record_crash(query.request, process, self.now_s, part.on_trial)
+        verdict = table.record_crash(query.fingerprint, process, self.now_s, part.on_trial)
         if verdict is not poison.Verdict.ALLOWED:
-            self.broadcast(query.instance, query.request)
+            self.broadcast(query.instance, query.fingerprint)
         else:
             self.schedule(
-                FIRST_CRASH_DELAY_S, self.broadcast_if_unanswered, query.instance, query.request
+                FIRST_CRASH_DELAY_S, self.broadcast_if_unanswered, query.instance, query.fingerprint
             )
             if part.attempt == 0:
                 self.send(query, part.shard, 1)
@@ -198,27 +198,29 @@
 
     # Reports between instances
 
-    def broadcast_if_unanswered(self, instance, request):
-        record = self.tables[instance].records.get(request)
+    def broadcast_if_unanswered(self, instance, fingerprint):
+        record = self.tables[instance].records.get(fingerprint)
         if record is not None and record.recent_crashes(self.now_s):
-            self.broadcast(instance, request)
+            self.broadcast(instance, fingerprint)
 
-    def broadcast(self, instance, request):
+    def broadcast(self, instance, fingerprint):
         for other in range(len(self.tables)):
             if other != instance:
-                self.send_report(instance, other, request)
+                self.send_report(instance, other, fingerprint)
 
-    def send_report(self, instance, other, request, reply=False):
-        record = self.tables[instance].records[request]
+    def send_report(self, instance, other, fingerprint, reply=False):
+        record = self.tables[instance].records[fingerprint]
         copy = attrs.evolve(record, crashes=dict(record.crashes))
         delay_s = self.rng.uniform(*DELAY_S)
-        self.schedule(delay_s, self.receive_report, other, request, copy, instance, reply)
+        self.schedule(delay_s, self.receive_report, other, fingerprint, copy, instance, reply)
 
-    def receive_report(self, instance, request, record, sender, reply):
+    def receive_report(self, instance, fingerprint, record, sender, reply):
         self.reports += 1
         table = self.tables[instance]
-        changed = table.merge_report(request, record, self.now_s)
+        changed = table.merge_report(fingerprint, record, self.now_s)
         if changed and reply:
-            self.broadcast(instance, request)
-        elif request in table.records and table.has_newer_answer(request, record, self.now_s):
-            self.send_report(instance, sender, request, reply=True)
+            self.broadcast(instance, fingerprint)
+        elif fingerprint in table.records and table.has_newer_answer(
+            fingerprint, record, self.now_s
+        ):
+            self.send_report(instance, sender, fingerprint, reply=True)
--- a/tests/policy/test_poison.py
+++ b/tests/policy/test_poison.py
@@ -14,7 +14,7 @@
 from turmericlug.policy import poison
 
 ALLOWED, SUSPECTED, QUARANTINED = poison.Verdict
-REQUEST = b"q"
+FINGERPRINT = b"q"
 
 
 def table_after(*events):
@@ -22,9 +22,9 @@
     table = poison.SuspectTable()
     for kind, replica, at_s in events:
         if kind == "answer":
-            table.record_answer(REQUEST, at_s)
+            table.record_answer(FINGERPRINT, at_s)
         else:
-            table.record_crash(REQUEST, replica, at_s, on_trial=kind == "trial")
+            table.record_crash(FINGERPRINT, replica, at_s, on_trial=kind == "trial")
     return table
 
 
@@ -79,24 +79,24 @@
     others as well.
     """
     table = table_after(*events)
-    assert table.verdict(REQUEST, at_s) is verdict
+    assert table.verdict(FINGERPRINT, at_s) is verdict
     assert table.verdict(b"another", at_s) is ALLOWED
 
 
 def test_one_trial_at_a_time():
     table = table_after(*THREE_CRASHES)
-    assert table.begin_trial(REQUEST, 101.0)
-    assert not table.begin_trial(REQUEST, 102.0)
-    table.cancel_trial(REQUEST, 102.0)
-    assert table.begin_trial(REQUEST, 102.1)
-    assert table.begin_trial(REQUEST, 102.1 + poison.TRIAL_TIMEOUT_S)
+    assert table.begin_trial(FINGERPRINT, 101.0)
+    assert not table.begin_trial(FINGERPRINT, 102.0)
+    table.cancel_trial(FINGERPRINT, 102.0)
+    assert table.begin_trial(FINGERPRINT, 102.1)
+    assert table.begin_trial(FINGERPRINT, 102.1 + poison.TRIAL_TIMEOUT_S)
 
 
 def test_an_operator_lifts_a_quarantine():
     table = table_after(*THREE_CRASHES, TRIAL_CRASH)
-    assert table.lift(REQUEST, 102.0)
-    assert table.verdict(REQUEST, 102.0) is ALLOWED
-    assert not table.lift(REQUEST, 102.0)
+    assert table.lift(FINGERPRINT, 102.0)
+    assert table.verdict(FINGERPRINT, 102.0) is ALLOWED
+    assert not table.lift(FINGERPRINT, 102.0)
     assert not table.lift(b"another", 102.0)
 
 
@@ -108,22 +108,22 @@
     """
     reports = [poison.Record({f"r{number}": 100.0 + number}) for number in range(3)]
     table = poison.SuspectTable()
-    changed = [table.merge_report(REQUEST, reports[number], 103.0) for number in order]
+    changed = [table.merge_report(FINGERPRINT, reports[number], 103.0) for number in order]
     assert changed == [True] * 3
-    assert table.verdict(REQUEST, 103.0) is SUSPECTED
-    assert not table.merge_report(REQUEST, reports[0], 103.0)
+    assert table.verdict(FINGERPRINT, 103.0) is SUSPECTED
+    assert not table.merge_report(FINGERPRINT, reports[0], 103.0)
 
 
 def test_a_local_answer_refutes_the_report_of_another_instance():
     """A popular query was answered here a moment ago, and another instance suspects it."""
     table = poison.SuspectTable()
-    table.record_answer(REQUEST, 100.0)
-    reported = table_after(*crashes(101.0, 101.1, 101.2)).records[REQUEST]
-    table.merge_report(REQUEST, reported, 102.0)
-    assert table.has_newer_answer(REQUEST, reported, 102.0)
-    assert not table.has_newer_answer(REQUEST, table.records[REQUEST], 102.0)
-    assert table.verdict(REQUEST, 102.0) is ALLOWED
-    assert table.records[REQUEST].answered_s == 100.0
+    table.record_answer(FINGERPRINT, 100.0)
+    reported = table_after(*crashes(101.0, 101.1, 101.2)).records[FINGERPRINT]
+    table.merge_report(FINGERPRINT, reported, 102.0)
+    assert table.has_newer_answer(FINGERPRINT, reported, 102.0)
+    assert not table.has_newer_answer(FINGERPRINT, table.records[FINGERPRINT], 102.0)
+    assert table.verdict(FINGERPRINT, 102.0) is ALLOWED
+    assert table.records[FINGERPRINT].answered_s == 100.0
 
 
 def test_a_time_sent_back_and_forth_does_not_advance():
@@ -131,16 +131,16 @@
     one, other = table_after(*THREE_CRASHES, TRIAL_CRASH), poison.SuspectTable()
     for _ in range(200):
         for sender, receiver in ((one, other), (other, one)):
-            record = sender.records[REQUEST]
+            record = sender.records[FINGERPRINT]
             late = attrs.evolve(
                 record,
                 crashes={name: at_s + 0.05 for name, at_s in record.crashes.items()},
                 quarantined_s=record.quarantined_s + 0.05,
             )
-            receiver.merge_report(REQUEST, late, 102.0)
-    assert one.records[REQUEST].quarantined_s == 101.0
-    assert min(one.records[REQUEST].crashes.values()) == 100.0
-    assert other.verdict(REQUEST, 403.0) is SUSPECTED
+            receiver.merge_report(FINGERPRINT, late, 102.0)
+    assert one.records[FINGERPRINT].quarantined_s == 101.0
+    assert min(one.records[FINGERPRINT].crashes.values()) == 100.0
+    assert other.verdict(FINGERPRINT, 403.0) is SUSPECTED
 
 
 @pytest.mark.parametrize("answered", [True, False], ids=["cleared", "suspected"])
@@ -153,14 +153,16 @@
     """
     tables = [table_after(*(("crash", f"{name}{n}", 100.0) for n in range(12))) for name in "abc"]
     if answered:
-        tables[0].record_answer(REQUEST, 100.5)
+        tables[0].record_answer(FINGERPRINT, 100.5)
     now_s, rounds = 101.0, 0
     changed = True
     while changed:
         now_s, rounds = now_s + 0.02, rounds + 1
         assert rounds < 10
         reports = [
-            attrs.evolve(table.records[REQUEST], crashes=dict(table.records[REQUEST].crashes))
+            attrs.evolve(
+                table.records[FINGERPRINT], crashes=dict(table.records[FINGERPRINT].crashes)
+            )
             for table in tables
         ]
         late = [
@@ -170,14 +172,14 @@
             for record in reports
         ]
         changes = [
-            table.merge_report(REQUEST, record, now_s)
+            table.merge_report(FINGERPRINT, record, now_s)
             for table in tables
             for record in late
             if record is not late[tables.index(table)]
         ]
         changed = any(changes)
     verdict = ALLOWED if answered else SUSPECTED
-    assert [table.verdict(REQUEST, now_s) for table in tables] == [verdict] * 3
+    assert [table.verdict(FINGERPRINT, now_s) for table in tables] == [verdict] * 3
 
 
 def test_the_table_is_bounded_and_keeps_withheld_requests():
@@ -188,11 +190,11 @@
         table.record_answer(b"a%d" % number, 102.0)
     assert len(table.records) == poison.MAX_RECORDS
     assert len(table._answered_s) == poison.MAX_ANSWERED
-    assert table.verdict(REQUEST, 102.0) is QUARANTINED
+    assert table.verdict(FINGERPRINT, 102.0) is QUARANTINED
     assert table.expire(102.0 + poison.CRASH_TTL_S) == poison.MAX_RECORDS
 
 
-REQUESTS = strategies.sampled_from([b"a", b"b"])
+FINGERPRINTS = strategies.sampled_from([b"a", b"b"])
 INDEXES = strategies.integers(0, 2)
 
 
@@ -215,11 +217,11 @@
         self.tables[index].record_answer(b"a", self.now_s)
         self.answered_s = self.now_s
 
-    @stateful.rule(index=INDEXES, request=REQUESTS)
-    def crash(self, index, request):
+    @stateful.rule(index=INDEXES, fingerprint=FINGERPRINTS)
+    def crash(self, index, fingerprint):
         table = self.tables[index]
-        if table.verdict(request, self.now_s) is ALLOWED:
-            table.record_crash(request, f"r{next(self.replicas)}", self.now_s, on_trial=False)
+        if table.verdict(fingerprint, self.now_s) is ALLOWED:
+            table.record_crash(fingerprint, f"r{next(self.replicas)}", self.now_s, on_trial=False)
 
     @stateful.rule(index=INDEXES)
     def trial(self, index):
@@ -230,11 +232,11 @@
 
     @stateful.rule(index=INDEXES, other_index=INDEXES, delay_s=strategies.floats(0.0, 0.4))
     def report(self, index, other_index, delay_s):
-        for request, record in list(self.tables[index].records.items()):
+        for fingerprint, record in list(self.tables[index].records.items()):
             copy = attrs.evolve(
                 record, crashes={name: at_s + delay_s for name, at_s in record.crashes.items()}
             )
-            self.tables[other_index].merge_report(request, copy, self.now_s)
+            self.tables[other_index].merge_report(fingerprint, copy, self.now_s)
 
     @stateful.rule(index=INDEXES)
     def restart(self, index):
@@ -242,9 +244,11 @@
 
     @stateful.rule(index=INDEXES)
     def expire(self, index):
-        withheld = {request for request, _ in self.tables[index].withheld(self.now_s)}
+        withheld = {fingerprint for fingerprint, _ in self.tables[index].withheld(self.now_s)}
         self.tables[index].expire(self.now_s)
-        assert withheld == {request for request, _ in self.tables[index].withheld(self.now_s)}
+        assert withheld == {
+            fingerprint for fingerprint, _ in self.tables[index].withheld(self.now_s)
+        }
 
     @stateful.invariant()
     def no_instance_that_knows_of_an_answer_withholds_the_request(self):
@@ -260,10 +264,11 @@
         merged = [poison.SuspectTable() for _ in range(2)]
         for target, tables in zip(merged, (self.tables, self.tables[::-1]), strict=True):
             for table in tables:
-                for request, record in table.records.items():
-                    target.merge_report(request, record, self.now_s)
+                for fingerprint, record in table.records.items():
+                    target.merge_report(fingerprint, record, self.now_s)
         verdicts = [
-            [table.verdict(request, self.now_s) for request in (b"a", b"b")] for table in merged
+            [table.verdict(fingerprint, self.now_s) for fingerprint in (b"a", b"b")]
+            for table in merged
         ]
         assert verdicts[0] == verdicts[1]
 
--- a/tests/policy/test_poison_fleet.py
+++ b/tests/policy/test_poison_fleet.py
@@ -25,10 +25,10 @@
     fleet = fleet_model.Fleet(instances, seed)
     for number in range(int(DURATION_S * REQUESTS_PER_S)):
         if fleet.rng.random() < POPULAR_SHARE:
-            request = b"popular-%d" % fleet.rng.randrange(POPULAR)
+            fingerprint = b"popular-%d" % fleet.rng.randrange(POPULAR)
         else:
-            request = b"once-%d" % number
-        fleet.schedule(fleet.rng.uniform(0.0, DURATION_S), fleet.submit, request)
+            fingerprint = b"once-%d" % number
+        fleet.schedule(fleet.rng.uniform(0.0, DURATION_S), fleet.submit, fingerprint)
     return fleet
 
 
