--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -230,7 +230,7 @@
 async def _follow_source(kernel: Kernel) -> abc.AsyncIterator[tasks.Tasks]:
     """Follow the source's changes and deregister instances that have become silent."""
     view, source, counters = (kernel.find(name) for name in ("view", "source", "counters"))
-    relayed = relay.RelayedSource(
+    relayed_source = relay.RelayedSource(
         source,
         kernel.find("adapter").decode_value,
         _place(kernel.find("settings")),
@@ -238,21 +238,21 @@
         counters,
         liveness.PeerLiveness(),
     )
-    kernel.provide("relayed", relayed)
+    kernel.provide("relayed source", relayed_source)
     journal = journal_module.Journal()
     kernel.provide("journal", journal)
-    work = follower.follow(source, relayed.changes, view, journal, counters, random.Random())
-    cleanup = deregistration.deregister_silent(source, view, relayed, counters)
+    work = follower.follow(source, relayed_source.changes, view, journal, counters, random.Random())
+    cleanup = deregistration.deregister_silent(source, view, relayed_source, counters)
     async with tasks.background(work, cleanup) as running:
         yield running
 
 
 @contextlib.asynccontextmanager
-async def _callers(kernel: Kernel) -> abc.AsyncIterator[server.Server]:
+async def _serve_callers(kernel: Kernel) -> abc.AsyncIterator[server.Server]:
     settings, view = kernel.find("settings"), kernel.find("view")
     send_tasks = tasks.Tasks()
-    stalls = stalls_module.StallMonitor()
-    kernel.provide("stalls", stalls)
+    stall_monitor = stalls_module.StallMonitor()
+    kernel.provide("stall monitor", stall_monitor)
     peers = peers_module.Peers(view.peers, _place(settings))
     sender = sender_module.Sender(
         view.replicas,
@@ -264,7 +264,7 @@
         is_shard=lambda service: (
             view.configuration is not None and service in view.configuration.shards
         ),
-        loop_lag_ms=stalls.lag_ms,
+        loop_lag_ms=stall_monitor.lag_ms,
     )
 
     def cold_share(entry: routes.ReplicaEntry) -> warm_up.Share:
@@ -293,10 +293,10 @@
         settings.entry.data_centre,
         sender.rng,
     )
-    kernel.provide("teller", gossip)
+    kernel.provide("suspect gossip", gossip)
     handler = callers_module.RequestHandler(view, sender, view.source_age_s)
     view.on_configuration = handler.on_configured
-    kernel.provide("handler", handler)
+    kernel.provide("request handler", handler)
     max_connections = settings.limits.descriptors - RESERVED_DESCRIPTORS
     caller_server = server.Server(handler.handle, lambda: _limits(view), max(max_connections, 64))
     async with (
@@ -304,7 +304,10 @@
             caller_server, settings.entry.callers_address, kernel.find("early listener")
         ),
         tasks.background(
-            _warm_connections(sender), gossip.run_broadcast(), gossip.run_sync(), stalls.watch()
+            _warm_connections(sender),
+            gossip.run_broadcast(),
+            gossip.run_sync(),
+            stall_monitor.watch(),
         ),
     ):
         yield caller_server
@@ -333,7 +336,7 @@
 
 
 @contextlib.asynccontextmanager
-async def _registration(kernel: Kernel) -> abc.AsyncIterator[tasks.Tasks]:
+async def _stay_registered(kernel: Kernel) -> abc.AsyncIterator[tasks.Tasks]:
     entry = kernel.find("settings").entry
     host, port = entry.callers_address
     peers_host, peers_port = entry.peers_address
@@ -349,7 +352,7 @@
         kernel.find("view"),
         own,
         lambda: listeners.ready(kernel),
-        kernel.find("relayed").serves_peers,
+        kernel.find("relayed source").serves_peers,
         random.Random(),
     )
     async with tasks.background(work) as running:
@@ -368,10 +371,10 @@
     loop = asyncio.get_running_loop()
     began_s = loop.time()
     grace_s = kernel.find("live settings").policy.grace_s
-    caller_server, handler = kernel.find("callers"), kernel.find("handler")
+    caller_server, handler = kernel.find("caller server"), kernel.find("request handler")
     decisions.log("instance.leaving", connections=len(caller_server.connections), grace_s=grace_s)
     caller_server.drain()
-    await kernel.find("registration").close()
+    await kernel.find("registration tasks").close()
     refuse_at_s = began_s + REFUSE_AFTER_SHARE * grace_s
     exit_at_s = began_s + grace_s - EXIT_MARGIN_S
     handler.start_draining(refuse_at_s, exit_at_s)
@@ -388,8 +391,8 @@
 _SERVICES: tuple[tuple[str, kernel_module.ServiceFactory], ...] = (
     ("source", _source),
     ("view", _view),
-    ("following", _follow_source),
-    ("callers", _callers),
-    ("questions", listeners.serve),
-    ("registration", _registration),
+    ("source tasks", _follow_source),
+    ("caller server", _serve_callers),
+    ("listeners", listeners.serve),
+    ("registration tasks", _stay_registered),
 )
--- a/src/turmericlug/entry/deregistration.py
+++ b/src/turmericlug/entry/deregistration.py
@@ -25,7 +25,7 @@
 async def deregister_silent(
     source: source_module.Source,
     view: view_module.View,
-    relayed: relay.RelayedSource,
+    relayed_source: relay.RelayedSource,
     counters: counters_module.Counters,
 ) -> None:
     """
@@ -42,7 +42,7 @@
         if view.source_unreachable or view.source_age_s() > relay.MAX_AGE_S:
             # This instance itself is cut off, or has just resumed after a pause.
             continue
-        silent = relayed.silent_instances(loop.time())
+        silent = relayed_source.silent_instances(loop.time())
         entries = [*view.instance_entries(silent), *_reappeared(view, removed_entries)][:MAX_BATCH]
         if not entries:
             continue
@@ -55,7 +55,7 @@
         counters.add("instance.missed", len(entries) if removed else 0)
         decisions.log("instance.missed", names=names, taken_out=removed)
         for name, entry in zip(names, entries, strict=True):
-            relayed.peer_liveness.forget(name)
+            relayed_source.peer_liveness.forget(name)
             removed_entries[name] = entry
             if len(removed_entries) > MAX_REMEMBERED:
                 removed_entries.popitem(last=False)
--- a/src/turmericlug/entry/listeners.py
+++ b/src/turmericlug/entry/listeners.py
@@ -53,7 +53,7 @@
 @contextlib.asynccontextmanager
 async def serve(kernel: Kernel) -> abc.AsyncIterator[None]:
     """Serve readiness, addresses, metrics, status and requests of other instances."""
-    stalls = kernel.find("stalls")
+    stall_monitor = kernel.find("stall monitor")
     settings, view = kernel.find("settings"), kernel.find("view")
     adapter = kernel.find("adapter")
     handlers = [
@@ -75,7 +75,7 @@
             lambda: messages.Limits(idle_timeout_s=PEER_IDLE_TIMEOUT_S),
             settings.limits.descriptors // 8,
             interim=INTERIM_RESPONSE,
-            stalled_s=stalls.overdue_s,
+            stalled_s=stall_monitor.overdue_s,
         )
         await stack.enter_async_context(listen(peer_server, settings.entry.peers_address))
         yield
@@ -103,9 +103,11 @@
     serve_updates = relay.handler(
         kernel.find("journal"),
         kernel.find("view").source_age_s,
-        kernel.find("relayed").peer_liveness,
+        kernel.find("relayed source").peer_liveness,
+    )
+    exchange_suspects = suspects.handler(
+        kernel.find("sender").quarantine, kernel.find("suspect gossip")
     )
-    exchange_suspects = suspects.handler(kernel.find("sender").quarantine, kernel.find("teller"))
 
     async def handle(request: messages.Request) -> messages.Response:
         if request.target.startswith(relay.PATH):
@@ -123,4 +125,4 @@
 
 
 def _is_draining(kernel: Kernel) -> bool:
-    return kernel.find("callers").draining
+    return kernel.find("caller server").draining
--- a/tests/entry/test_deregistration.py
+++ b/tests/entry/test_deregistration.py
@@ -71,20 +71,22 @@
     view.record_source_answer(age_s)
     totals = counters.Counters()
     source = Source(outcome)
-    relayed = relay.RelayedSource(
+    relayed_source = relay.RelayedSource(
         source, None, scripted.PLACE, peers, totals, liveness.PeerLiveness()
     )
     still_silent = list(silent)
     checked_s = []
 
-    def silent_now(relayed, at_s):
+    def silent_now(relayed_source, at_s):
         checked_s.append(at_s)
         return [] if counted and totals.totals["instance.missed"] else still_silent
 
     monkeypatch.setattr(relay.RelayedSource, "silent_instances", silent_now)
 
     async def main():
-        task = asyncio.create_task(deregistration.deregister_silent(source, view, relayed, totals))
+        task = asyncio.create_task(
+            deregistration.deregister_silent(source, view, relayed_source, totals)
+        )
         async with asyncio.timeout(10):
             while len(source.calls) < calls or (not calls and len(checked_s) < 3 and age_s < 1):
                 await asyncio.sleep(0.002)
