--- a/tests/direct/test_answering.py
+++ b/tests/direct/test_answering.py
@@ -24,7 +24,7 @@
 
     async def main():
         shards = {
-            name: {f"{name}-{n}": scripted.Scripted(*script) for n in range(2)}
+            name: {f"{name}-{n}": scripted.ScriptedReplica(*script) for n in range(2)}
             for name, script in scripts.items()
         }
         sender = scripted.make_sender(shards)
@@ -149,7 +149,7 @@
 
 def test_a_query_without_enough_replicas_is_refused_before_anything_is_sent():
     async def main():
-        replica = scripted.Scripted(part(1))
+        replica = scripted.ScriptedReplica(part(1))
         sender = scripted.make_sender({"x": {"x-0": replica}})
         call = scripted.make_call(shards=("x", "y", "z"), min_coverage=0.6, services=())
         result = await answering.query_shards(sender, call)
@@ -179,7 +179,7 @@
     """
 
     async def main():
-        sender = scripted.make_sender({"s": {"a": scripted.Scripted(*script)}})
+        sender = scripted.make_sender({"s": {"a": scripted.ScriptedReplica(*script)}})
         call = scripted.make_call(idempotent=False, deadline_ms=200.0)
         result = await answering.request_service(sender, call, "s")
         await sender.tasks.close()
@@ -209,7 +209,7 @@
 
     async def main():
         scripts = {
-            name: {f"{name}-0": scripted.Scripted(*script)}
+            name: {f"{name}-0": scripted.ScriptedReplica(*script)}
             for name, script in {"x": [part(1)], "y": [30.0]}.items()
         }
         sender = scripted.make_sender(scripts)
@@ -235,7 +235,7 @@
     async def main():
         slow_replica = scripted.SlowToConnect(part(2))
         sender = scripted.make_sender(
-            {"x": {"x-0": scripted.Scripted(part(1))}, "y": {"y-0": slow_replica}}
+            {"x": {"x-0": scripted.ScriptedReplica(part(1))}, "y": {"y-0": slow_replica}}
         )
         call = scripted.make_call(
             services=(), shards=("x", "y"), top_records=1, min_coverage=0.5, deadline_ms=3000.0
--- a/tests/direct/test_attempts.py
+++ b/tests/direct/test_attempts.py
@@ -36,7 +36,7 @@
 
 
 def two_replicas(first, second):
-    return {"a": scripted.Scripted(*first), "b": scripted.Scripted(*second)}
+    return {"a": scripted.ScriptedReplica(*first), "b": scripted.ScriptedReplica(*second)}
 
 
 @pytest.mark.parametrize(
@@ -119,7 +119,8 @@
     caller's 800 ms; the caller retried once, with twenty new parts, and failed again.
     """
     scripts = {
-        name: scripted.Scripted(*script) for name, script in zip("abc", scripts, strict=False)
+        name: scripted.ScriptedReplica(*script)
+        for name, script in zip("abc", scripts, strict=False)
     }
     outcome, requests = run_attempts(scripts, max_attempts=allowed, idempotent=idempotent)
     assert isinstance(outcome, expected)
@@ -145,7 +146,7 @@
 
 
 def test_no_more_replicas_than_the_route_allows():
-    scripts = {name: scripted.Scripted(RESET) for name in "abcd"}
+    scripts = {name: scripted.ScriptedReplica(RESET) for name in "abcd"}
     _, requests = run_attempts(scripts, max_attempts=3)
     assert sum(map(bool, requests)) == 3
     assert sum(requests) == 3 + attempts.MAX_SAME_REPLICA_RETRIES
@@ -251,10 +252,10 @@
     allowed, a further hedge would reach a third replica.
     """
     scripts = {
-        "a": scripted.Scripted(30.0),
-        "b": scripted.Scripted(RESET),
-        "c": scripted.Scripted(GOOD),
-        "d": scripted.Scripted(GOOD),
+        "a": scripted.ScriptedReplica(30.0),
+        "b": scripted.ScriptedReplica(RESET),
+        "c": scripted.ScriptedReplica(GOOD),
+        "d": scripted.ScriptedReplica(GOOD),
     }
     _, requests = run_attempts(scripts, max_attempts=2, deadline_ms=400.0)
     assert requests == [1, 1, 0, 0]
@@ -276,7 +277,7 @@
     """
 
     async def main():
-        replica_gone = scripted.Scripted(MISDIRECTED)
+        replica_gone = scripted.ScriptedReplica(MISDIRECTED)
         sender = scripted.make_sender({"s": {"a": replica_gone}})
         first = await attempts.get_answer(sender, scripted.make_call(), "s")
         (replica,) = sender.replicas.all()
--- a/tests/direct/test_handover.py
+++ b/tests/direct/test_handover.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import attrs
-import handing
+import handover_helpers
 import pytest
 import scripted
 
@@ -22,10 +22,10 @@
     """Query an instance with a peer; return the result, direct requests by replica and counters."""
 
     async def main():
-        replicas = handing.scripts()
-        sender = handing.make_sender(replicas)
-        async with handing.peer(handler, **options) as sender.handover:
-            call = handing.query_call(min_coverage=min_coverage)
+        replicas = handover_helpers.scripts()
+        sender = handover_helpers.make_sender(replicas)
+        async with handover_helpers.peer(handler, **options) as sender.handover:
+            call = handover_helpers.query_call(min_coverage=min_coverage)
             result = await answering.query_shards(sender, call)
             await sender.tasks.close()
         sent = {
@@ -40,8 +40,8 @@
 
 def test_remote_parts_are_answered_merged():
     """The answer is the same as with direct attempts, and no remote replica gets one."""
-    peer_replicas = handing.scripts()
-    result, sent, _ = run_query(handing.peer_handler(peer_replicas))
+    peer_replicas = handover_helpers.scripts()
+    result, sent, _ = run_query(handover_helpers.peer_handler(peer_replicas))
     assert result.outcome == "answered"
     assert dict(result.answer.headers)[b"parts"] == b"sig120, sig121, sig122"
     assert result.answer.body == b"".join(n.to_bytes(16, "big") for n in (122, 121))
@@ -55,13 +55,15 @@
     query waits since it needs the shard. If the part were also sent directly, it would run on a
     third replica.
     """
-    peer_replicas = handing.scripts()
-    peer_replicas["x"]["far-1"].script = [0.25, handing.part(120)]
+    peer_replicas = handover_helpers.scripts()
+    peer_replicas["x"]["far-1"].script = [0.25, handover_helpers.part(120)]
 
     async def main():
-        sender = handing.make_sender(handing.scripts())
-        async with handing.peer(handing.peer_handler(peer_replicas)) as sender.handover:
-            call = handing.query_call(min_coverage=1.0)
+        sender = handover_helpers.make_sender(handover_helpers.scripts())
+        async with handover_helpers.peer(
+            handover_helpers.peer_handler(peer_replicas)
+        ) as sender.handover:
+            call = handover_helpers.query_call(min_coverage=1.0)
             result = await answering.query_shards(sender, call)
             await sender.tasks.close()
         return result, sender.counters.totals
@@ -95,11 +97,11 @@
 @pytest.mark.parametrize(
     ("handler", "interim"),
     [
-        (handing.silent, b""),
-        (failing, handing.INTERIM_RESPONSE),
-        (garbage, handing.INTERIM_RESPONSE),
-        (handing.silent, handing.INTERIM_RESPONSE),
-        (incomplete, handing.INTERIM_RESPONSE),
+        (handover_helpers.silent, b""),
+        (failing, handover_helpers.INTERIM_RESPONSE),
+        (garbage, handover_helpers.INTERIM_RESPONSE),
+        (handover_helpers.silent, handover_helpers.INTERIM_RESPONSE),
+        (incomplete, handover_helpers.INTERIM_RESPONSE),
     ],
     ids=["dead", "failing", "garbage", "stuck", "incomplete"],
 )
@@ -116,7 +118,9 @@
 
 def _scripted_shards(names):
     return {
-        shard: {f"{name}{shard}": scripted.Scripted(handing.part(120)) for name in names}
+        shard: {
+            f"{name}{shard}": scripted.ScriptedReplica(handover_helpers.part(120)) for name in names
+        }
         for shard in ("x", "y")
     }
 
@@ -124,11 +128,11 @@
 @pytest.mark.parametrize(
     ("first", "interim", "replicas", "moved"),
     [
-        (handing.silent, b"", 3, True),
+        (handover_helpers.silent, b"", 3, True),
         (failing, b"", 3, True),
-        (refusing, handing.INTERIM_RESPONSE, 3, True),
-        (failing, handing.INTERIM_RESPONSE, 2, True),
-        (failing, handing.INTERIM_RESPONSE, 3, True),
+        (refusing, handover_helpers.INTERIM_RESPONSE, 3, True),
+        (failing, handover_helpers.INTERIM_RESPONSE, 2, True),
+        (failing, handover_helpers.INTERIM_RESPONSE, 3, True),
     ],
     ids=["dead", "failing", "refused", "begun, few replicas", "begun, many replicas"],
 )
@@ -148,12 +152,14 @@
     async def main():
         names = ["far-", "further-", "other-"][:replicas]
         own_replicas, peer_replicas = _scripted_shards(names), _scripted_shards(names)
-        sender = handing.make_sender(own_replicas)
+        sender = handover_helpers.make_sender(own_replicas)
         sender.instance_count = lambda: 74
-        async with handing.peer(
-            first, interim, others=[handing.peer_handler(peer_replicas)]
+        async with handover_helpers.peer(
+            first, interim, others=[handover_helpers.peer_handler(peer_replicas)]
         ) as sender.handover:
-            call = handing.query_call(shards=("x", "y"), min_coverage=1.0, deadline_ms=5000.0)
+            call = handover_helpers.query_call(
+                shards=("x", "y"), min_coverage=1.0, deadline_ms=5000.0
+            )
             result = await answering.query_shards(sender, call)
             await sender.tasks.close()
         direct_requests = sum(
@@ -180,9 +186,11 @@
     known_replicas = {shard: peer_replicas[shard] for shard in known}
 
     async def main():
-        sender = handing.make_sender(own_replicas)
-        async with handing.peer(handing.peer_handler(known_replicas)) as sender.handover:
-            call = handing.query_call(shards=("x", "y"), min_coverage=1.0)
+        sender = handover_helpers.make_sender(own_replicas)
+        async with handover_helpers.peer(
+            handover_helpers.peer_handler(known_replicas)
+        ) as sender.handover:
+            call = handover_helpers.query_call(shards=("x", "y"), min_coverage=1.0)
             result = await answering.query_shards(sender, call)
             await sender.tasks.close()
         return result.outcome, sender.counters.totals.get("handover.lost", 0)
@@ -215,13 +223,16 @@
 
     async def run(ejected, maybe_sent_before):
         reset = client.ExchangeError("reset")
-        replicas = {name: scripted.Scripted(reset) for name in names}
-        sender = handing.make_sender({"x": replicas})
+        replicas = {name: scripted.ScriptedReplica(reset) for name in names}
+        sender = handover_helpers.make_sender({"x": replicas})
         now_s = asyncio.get_running_loop().time()
         for replica in sender.replicas.of("x")[:ejected]:
             replica.ejected_until_s = now_s + 60
         batch = attrs.evolve(
-            handing.BATCH, request_id=request_id, shards=("x",), maybe_sent_before=maybe_sent_before
+            handover_helpers.BATCH,
+            request_id=request_id,
+            shards=("x",),
+            maybe_sent_before=maybe_sent_before,
         )
         body = handover_codec.encode_batch(batch)
         request = messages.Request(b"POST", handover.PATH, (), body, now_s)
@@ -237,31 +248,33 @@
 
     first, second = asyncio.run(main())
     assert len(second) == 1
-    assert len({*first, *second}) <= handing.BATCH.max_attempts
+    assert len({*first, *second}) <= handover_helpers.BATCH.max_attempts
 
 
 @pytest.mark.parametrize("number", range(8))
-@pytest.mark.parametrize("first", [[0.4, handing.part(1)], [client.ExchangeError("reset")]])
+@pytest.mark.parametrize(
+    "first", [[0.4, handover_helpers.part(1)], [client.ExchangeError("reset")]]
+)
 def test_a_late_part_goes_to_the_better_of_the_other_replicas(first, number):
     """
     Replicas of many shards become slow, for some shards two of three. Half of all queries could
     reach only these two, missed the shard, and were late because their coverage was too low.
     """
     replicas = {
-        "far-1": scripted.Scripted(*first),
-        f"further-{number}": scripted.Scripted(0.4, handing.part(2)),
-        f"near-{number}": scripted.Scripted(handing.part(3)),
+        "far-1": scripted.ScriptedReplica(*first),
+        f"further-{number}": scripted.ScriptedReplica(0.4, handover_helpers.part(2)),
+        f"near-{number}": scripted.ScriptedReplica(handover_helpers.part(3)),
     }
 
     async def main():
-        sender = handing.make_sender({"x": replicas})
+        sender = handover_helpers.make_sender({"x": replicas})
         now_s = asyncio.get_running_loop().time()
         relative_latencies = (0.01, 9.0, 1.5)
         for replica, relative_latency in zip(
             sender.replicas.of("x"), relative_latencies, strict=True
         ):
             replica.relative_latency, replica.relative_latency_at_s = relative_latency, now_s
-        batch = attrs.evolve(handing.BATCH, shards=("x",), maybe_sent_before=False)
+        batch = attrs.evolve(handover_helpers.BATCH, shards=("x",), maybe_sent_before=False)
         body = handover_codec.encode_batch(batch)
         request = messages.Request(b"POST", handover.PATH, (), body, now_s)
         answer = await batches.handler(sender)(request)
@@ -275,10 +288,10 @@
 
 def test_a_peer_that_lost_batches_gets_none_for_a_while():
     async def main():
-        sender = handing.make_sender(handing.scripts())
-        async with handing.peer(failing) as sender.handover:
+        sender = handover_helpers.make_sender(handover_helpers.scripts())
+        async with handover_helpers.peer(failing) as sender.handover:
             for _ in range(4):
-                await answering.query_shards(sender, handing.query_call())
+                await answering.query_shards(sender, handover_helpers.query_call())
             await sender.tasks.close()
         return sender.counters.totals
 
@@ -290,13 +303,15 @@
     The caller disconnects while a peer works on a batch. The connection to the peer is closed, and
     the peer closes its connections to the replicas.
     """
-    peer_replicas = handing.scripts()
+    peer_replicas = handover_helpers.scripts()
     peer_replicas["x"]["far-1"].script = [30.0]
 
     async def main():
-        sender = handing.make_sender(handing.scripts())
-        async with handing.peer(handing.peer_handler(peer_replicas)) as sender.handover:
-            call = handing.query_call(min_coverage=1.0)
+        sender = handover_helpers.make_sender(handover_helpers.scripts())
+        async with handover_helpers.peer(
+            handover_helpers.peer_handler(peer_replicas)
+        ) as sender.handover:
+            call = handover_helpers.query_call(min_coverage=1.0)
             task = asyncio.create_task(answering.query_shards(sender, call))
             while not peer_replicas["x"]["far-1"].requests:
                 await asyncio.sleep(0.005)
@@ -327,13 +342,16 @@
 
     async def main():
         replicas = {
-            "x": {"far-1": scripted.Scripted(*first), "further-1": scripted.Scripted(*first)},
-            "y": {"far-2": scripted.Scripted(handing.part(121))},
+            "x": {
+                "far-1": scripted.ScriptedReplica(*first),
+                "further-1": scripted.ScriptedReplica(*first),
+            },
+            "y": {"far-2": scripted.ScriptedReplica(handover_helpers.part(121))},
         }
-        sender = handing.make_sender(replicas)
-        async with handing.peer(handler) as sender.handover:
+        sender = handover_helpers.make_sender(replicas)
+        async with handover_helpers.peer(handler) as sender.handover:
             await answering.query_shards(
-                sender, handing.query_call(shards=("x", "y"), min_coverage=1.0)
+                sender, handover_helpers.query_call(shards=("x", "y"), min_coverage=1.0)
             )
             await sender.tasks.close()
         return [len(script.requests) for script in replicas["x"].values()]
@@ -347,9 +365,9 @@
     """Missing parts that a peer had sent to replicas were reported as not sent."""
 
     async def main():
-        sender = handing.make_sender(handing.scripts())
-        async with handing.peer(handing.silent) as sender.handover:
-            call = handing.query_call(goal_ms=60.0, deadline_ms=90.0)
+        sender = handover_helpers.make_sender(handover_helpers.scripts())
+        async with handover_helpers.peer(handover_helpers.silent) as sender.handover:
+            call = handover_helpers.query_call(goal_ms=60.0, deadline_ms=90.0)
             result = await answering.query_shards(sender, call)
             call.abandon()
             await sender.tasks.close()
@@ -366,9 +384,9 @@
     """
 
     async def main():
-        peer_replicas = handing.scripts()
-        handler = batches.handler(handing.make_sender(peer_replicas))
-        body = handover_codec.encode_batch(handing.BATCH)
+        peer_replicas = handover_helpers.scripts()
+        handler = batches.handler(handover_helpers.make_sender(peer_replicas))
+        body = handover_codec.encode_batch(handover_helpers.BATCH)
         request = messages.Request(b"POST", handover.PATH, (), body, 0.0, stalled_s=0.2)
         answer = await handler(request)
         assert answer.status == handover.REFUSED_STATUS
@@ -398,9 +416,11 @@
     async def main():
         names = [f"far-{number}" for number in range(replicas)]
         scripts = _scripted_shards(names)
-        sender = handing.make_sender(scripts)
-        async with handing.peer(dying) as sender.handover:
-            call = handing.query_call(shards=("x", "y"), min_coverage=1.0, deadline_ms=500.0)
+        sender = handover_helpers.make_sender(scripts)
+        async with handover_helpers.peer(dying) as sender.handover:
+            call = handover_helpers.query_call(
+                shards=("x", "y"), min_coverage=1.0, deadline_ms=500.0
+            )
             result = await answering.query_shards(sender, call)
             await sender.tasks.close()
         assert result.outcome == outcome
--- a/tests/direct/test_handover_codec.py
+++ b/tests/direct/test_handover_codec.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-import handing
+import handover_helpers
 import pytest
 
 from turmericlug.direct import handover_codec
@@ -17,9 +17,12 @@
 
 
 def test_messages_are_decoded_as_they_were_encoded():
-    assert handover_codec.decode_batch(handover_codec.encode_batch(handing.BATCH)) == handing.BATCH
-    content = handover_codec.encode_answer(ANSWER, handing.BATCH.shards)
-    assert handover_codec.decode_answer(content, handing.BATCH.shards) == ANSWER
+    assert (
+        handover_codec.decode_batch(handover_codec.encode_batch(handover_helpers.BATCH))
+        == handover_helpers.BATCH
+    )
+    content = handover_codec.encode_answer(ANSWER, handover_helpers.BATCH.shards)
+    assert handover_codec.decode_answer(content, handover_helpers.BATCH.shards) == ANSWER
 
 
 @pytest.mark.parametrize("content", [b"\x00", b"garbage" * 9, b"\xff" * 300])
@@ -29,6 +32,6 @@
 
 
 def test_an_answer_with_unknown_shards_is_rejected():
-    content = handover_codec.encode_answer(ANSWER, handing.BATCH.shards)
+    content = handover_codec.encode_answer(ANSWER, handover_helpers.BATCH.shards)
     with pytest.raises(handover_codec.MessageError):
         handover_codec.decode_answer(content, ("x",))
--- a/tests/direct/test_peers.py
+++ b/tests/direct/test_peers.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-import handing
+import handover_helpers
 import pytest
 import scripted
 
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize(
     ("names", "batches"),
     [
-        (handing.REPLICAS_BY_SERVICE, [("x", "y")]),
+        (handover_helpers.REPLICAS_BY_SERVICE, [("x", "y")]),
         ({"x": ["near-1", "far-1"], "y": ["near-2"], "z": ["near-3"]}, []),
         ({"x": ["far-1"], "y": ["near-2"], "z": ["near-3"]}, []),
         ({"x": ["further-1"], "y": ["further-2"], "z": ["further-3"]}, []),
@@ -40,13 +40,14 @@
 )
 def test_plan(names, batches):
     async def main():
-        sender = handing.make_sender(
-            {service: {name: scripted.Scripted(handing.part(1)) for name in instances}
+        sender = handover_helpers.make_sender(
+            {service: {name: scripted.ScriptedReplica(handover_helpers.part(1))
+                       for name in instances}
              for service, instances in names.items()}
         )  # fmt: skip
-        async with handing.peer(handing.silent) as peer_handover:
+        async with handover_helpers.peer(handover_helpers.silent) as peer_handover:
             now_s = asyncio.get_running_loop().time()
-            call = handing.query_call()
+            call = handover_helpers.query_call()
             assignments = peer_handover.peers.plan(
                 sender, call, answering.choose_first_replicas(sender, call), now_s
             )
@@ -57,7 +58,7 @@
 
 def test_connections_to_preferred_peers_are_prewarmed():
     async def main():
-        async with handing.peer(handing.silent) as peer_handover:
+        async with handover_helpers.peer(handover_helpers.silent) as peer_handover:
             await peer_handover.peers.warm(shards_have_owners=False)
             (preferred,) = peer_handover.peers.preferred_peers(shards_have_owners=False)
             assert preferred.pool.open_count == 1
@@ -70,10 +71,12 @@
     [(4, False, 4, 4), (30, False, 4, 4), (24, True, 8, 8), (3, True, 3, 3)],
 )
 def test_number_of_preferred_peers(instances, shards_have_owners, min_peers, max_peers):
-    peers = replicas_module.Replicas(lambda entry: None, handing.PLACE, budget.Allowance())
+    peers = replicas_module.Replicas(lambda entry: None, handover_helpers.PLACE, budget.Allowance())
     for number in range(instances):
         peers.put(routes.ReplicaEntry(f"e{number}", "far", "h", 1, "far", 1, False, 0))
-    preferred = peers_module.Peers(peers, handing.PLACE).preferred_peers(shards_have_owners)
+    preferred = peers_module.Peers(peers, handover_helpers.PLACE).preferred_peers(
+        shards_have_owners
+    )
     assert min_peers <= len(preferred) <= max_peers
 
 
@@ -86,16 +89,19 @@
     shards = [f"s{number}" for number in range(40)]
 
     async def main():
-        scripts = {shard: {f"far-{shard}": scripted.Scripted(handing.part(1))} for shard in shards}
-        sender = handing.make_sender(scripts)
+        scripts = {
+            shard: {f"far-{shard}": scripted.ScriptedReplica(handover_helpers.part(1))}
+            for shard in shards
+        }
+        sender = handover_helpers.make_sender(scripts)
         sender.instance_count = lambda: 74
         peers = replicas_module.Replicas(
-            lambda entry: IdlePool(), handing.PLACE, budget.Allowance()
+            lambda entry: IdlePool(), handover_helpers.PLACE, budget.Allowance()
         )
         for number in range(12):
             peers.put(routes.ReplicaEntry(f"e{number}", "far", "h", 1, "far", 1, False, 0))
-        peer_handover = handover.Handover(peers_module.Peers(peers, handing.PLACE))
-        call = handing.query_call(shards=tuple(shards))
+        peer_handover = handover.Handover(peers_module.Peers(peers, handover_helpers.PLACE))
+        call = handover_helpers.query_call(shards=tuple(shards))
         now_s = asyncio.get_running_loop().time()
         assignments = peer_handover.peers.plan(
             sender, call, answering.choose_first_replicas(sender, call), now_s
--- a/tests/direct/test_quarantine.py
+++ b/tests/direct/test_quarantine.py
@@ -86,16 +86,20 @@
             scripted.CrashingReplica(accepts_connections=True), True, True, 0, id="planned shutdown"
         ),
         pytest.param(
-            scripted.Scripted(client.ExchangeError("unreadable response: x")),
+            scripted.ScriptedReplica(client.ExchangeError("unreadable response: x")),
             False,
             True,
             0,
             id="corrupt response",
         ),
         pytest.param(
-            scripted.Scripted(client.ConnectRefusedError("x")), False, True, 0, id="never sent"
+            scripted.ScriptedReplica(client.ConnectRefusedError("x")),
+            False,
+            True,
+            0,
+            id="never sent",
         ),
-        pytest.param(scripted.Scripted(scripted.SHED), False, True, 0, id="shed"),
+        pytest.param(scripted.ScriptedReplica(scripted.SHED), False, True, 0, id="shed"),
     ],
 )
 def test_what_counts_as_a_crash(replica, draining, removed, crashes):
@@ -139,7 +143,7 @@
         return len(sender.quarantine.table.records[FINGERPRINT].crashes)
 
     crash_count = run_scenario(
-        {"s": {"a": scripted.Scripted(30.0)}}, scenario, max_attempts=1, deadline_ms=50.0
+        {"s": {"a": scripted.ScriptedReplica(30.0)}}, scenario, max_attempts=1, deadline_ms=50.0
     )
     assert crash_count == 1
 
@@ -204,7 +208,7 @@
         return await super().exchange(request)
 
 
-class SocketReplica(scripted.Scripted):
+class SocketReplica(scripted.ScriptedReplica):
     """A replica whose responses arrive on a socket."""
 
     async def connect(self):
@@ -300,7 +304,7 @@
     the other shards are answered a moment later, so that the query is not suspected, and is retried
     at the other replica of each shard.
     """
-    scripts, changes = query(lambda: scripted.Scripted(0.02, GOOD))
+    scripts, changes = query(lambda: scripted.ScriptedReplica(0.02, GOOD))
     for shard in SHARDS[:4]:
         scripts[shard][f"{shard}-0"] = scripted.CrashingReplica()
 
@@ -321,7 +325,12 @@
     ("make_replica", "outcome", "status", "sent", "verdict"),
     [
         pytest.param(
-            lambda: scripted.Scripted(GOOD), None, None, 1, poison.Verdict.ALLOWED, id="harmless"
+            lambda: scripted.ScriptedReplica(GOOD),
+            None,
+            None,
+            1,
+            poison.Verdict.ALLOWED,
+            id="harmless",
         ),
         pytest.param(
             scripted.CrashingReplica,
@@ -332,7 +341,7 @@
             id="crashes a replica",
         ),
         pytest.param(
-            lambda: scripted.Scripted(scripted.SHED),
+            lambda: scripted.ScriptedReplica(scripted.SHED),
             "refused",
             503,
             None,
@@ -340,7 +349,7 @@
             id="not run",
         ),
         pytest.param(
-            lambda: scripted.Scripted(client.ExchangeError("unreadable response: x")),
+            lambda: scripted.ScriptedReplica(client.ExchangeError("unreadable response: x")),
             "failed",
             502,
             1,
@@ -370,9 +379,9 @@
 @pytest.mark.parametrize(
     ("first", "outcome", "status"),
     [
-        (lambda: scripted.Scripted(GOOD), "answered", 200),
+        (lambda: scripted.ScriptedReplica(GOOD), "answered", 200),
         (scripted.CrashingReplica, "failed", 500),
-        (lambda: scripted.Scripted(scripted.SHED), "refused", 503),
+        (lambda: scripted.ScriptedReplica(scripted.SHED), "refused", 503),
     ],
     ids=["harmless", "crashes a replica", "not run"],
 )
@@ -389,7 +398,7 @@
 
 def test_an_attempt_during_a_trial_waits_for_its_outcome():
     """A popular query is on trial while further callers send it; one trial decides for all."""
-    scripts, changes = query(lambda: scripted.Scripted(0.05, GOOD))
+    scripts, changes = query(lambda: scripted.ScriptedReplica(0.05, GOOD))
 
     async def scenario(sender, call):
         make_suspected(sender)
@@ -404,7 +413,7 @@
 @pytest.mark.parametrize("enabled", [True, False])
 def test_a_quarantined_request_is_answered_at_once(enabled):
     """Nothing is sent; the answer neither says that the request did not run nor invites a retry."""
-    scripts, changes = query(lambda: scripted.Scripted(GOOD))
+    scripts, changes = query(lambda: scripted.ScriptedReplica(GOOD))
 
     async def scenario(sender, call):
         sender.quarantine.enabled = enabled
@@ -428,7 +437,7 @@
     Another instance quarantines a request that is queued at replicas to which this one sent it. The
     connections are closed, so that the replicas drop it, and the caller gets an answer at once.
     """
-    scripts, changes = query(lambda: scripted.Scripted(5.0, GOOD))
+    scripts, changes = query(lambda: scripted.ScriptedReplica(5.0, GOOD))
 
     async def scenario(sender, call):
         now_s = asyncio.get_running_loop().time()
@@ -463,5 +472,5 @@
         sender.quarantine.expire()
         return kept, len(sender.quarantine._unresolved)
 
-    counts = run_scenario({"s": {"a": scripted.Scripted(GOOD)}}, scenario)
+    counts = run_scenario({"s": {"a": scripted.ScriptedReplica(GOOD)}}, scenario)
     assert counts == (quarantine.MAX_UNRESOLVED, 0)
--- a/tests/direct/test_regions.py
+++ b/tests/direct/test_regions.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import attrs
-import handing
+import handover_helpers
 import pytest
 import scripted
 
@@ -30,7 +30,7 @@
     """Run a scenario with a call and a sender in data centre ``near``."""
 
     async def main():
-        sender = handing.make_sender(scripts)
+        sender = handover_helpers.make_sender(scripts)
         call = scripted.make_call(**changes)
         async with asyncio.timeout(10):
             result = await scenario(sender, call)
@@ -41,7 +41,7 @@
 
 
 def scripted_replicas(*steps, names=REPLICA_NAMES):
-    return {name: scripted.Scripted(*steps) for name in names}
+    return {name: scripted.ScriptedReplica(*steps) for name in names}
 
 
 def reached_replicas(replicas):
@@ -68,7 +68,11 @@
         return await answering.request_service(sender, call, "s")
 
     result = run_scenario({"s": replicas}, scenario, regions=regions, deadline_ms=800.0, **changes)
-    allowed = {name for name in REPLICA_NAMES if handing.REGIONS[name.partition("-")[0]] in regions}
+    allowed = {
+        name
+        for name in REPLICA_NAMES
+        if handover_helpers.REGIONS[name.partition("-")[0]] in regions
+    }
     assert reached_replicas(replicas) <= allowed
     if not allowed:
         assert (result.outcome, result.reason) == ("refused", replicas_module.OUT_OF_REGION)
@@ -109,24 +113,24 @@
     """Guards against handing the body of a restricted request to a peer in another region."""
 
     async def main():
-        scripts = handing.scripts()
-        sender = handing.make_sender(scripts)
+        scripts = handover_helpers.scripts()
+        sender = handover_helpers.make_sender(scripts)
         received = []
 
         async def handle(request):
             received.append(handover_codec.decode_batch(request.body))
             return messages.Response(503)
 
-        async with handing.peer(handle) as peer_handover:
+        async with handover_helpers.peer(handle) as peer_handover:
             sender.handover = peer_handover
-            call = handing.query_call(regions=frozenset({"here"}), min_coverage=0.3)
+            call = handover_helpers.query_call(regions=frozenset({"here"}), min_coverage=0.3)
             result = await answering.query_shards(sender, call)
             assert not received
             assert result.outcome == "partial"
             assert {
                 name for replicas in scripts.values() for name in reached_replicas(replicas)
             } == {"near-3"}
-            call = handing.query_call(regions=THERE)
+            call = handover_helpers.query_call(regions=THERE)
             await answering.query_shards(sender, call)
             assert [batch.regions for batch in received] == [THERE]
         await sender.tasks.close()
@@ -136,7 +140,7 @@
 
 @pytest.mark.parametrize("regions", [None, THERE, frozenset()], ids=["any", "one", "none"])
 def test_the_regions_of_a_batch_survive_encoding(regions):
-    batch = attrs.evolve(handing.BATCH, regions=regions)
+    batch = attrs.evolve(handover_helpers.BATCH, regions=regions)
     assert handover_codec.decode_batch(handover_codec.encode_batch(batch)) == batch
 
 
@@ -145,9 +149,9 @@
     scripts = {"x": scripted_replicas(0.3, GOOD), "y": scripted_replicas(0.3, GOOD)}
 
     async def main():
-        sender = handing.make_sender(scripts)
+        sender = handover_helpers.make_sender(scripts)
         batch = attrs.evolve(
-            handing.BATCH, regions=THERE, maybe_sent_before=False, answer_in_ms=150.0
+            handover_helpers.BATCH, regions=THERE, maybe_sent_before=False, answer_in_ms=150.0
         )
         content = handover_codec.encode_batch(batch)
         now_s = asyncio.get_running_loop().time()
@@ -191,7 +195,7 @@
         assert outcome == sending.NotRun(reason, sent=False)
 
 
-class DelayedConnect(scripted.Scripted):
+class DelayedConnect(scripted.ScriptedReplica):
     """A replica whose connections open only after ``may_connect`` is set."""
 
     def __init__(self, *script):
@@ -207,8 +211,8 @@
     """Guards against writing a request that waited for a connection after the evacuation began."""
 
     async def main():
-        replicas = {"near-1": DelayedConnect(GOOD), "far-1": scripted.Scripted(GOOD)}
-        sender = handing.make_sender({"s": replicas})
+        replicas = {"near-1": DelayedConnect(GOOD), "far-1": scripted.ScriptedReplica(GOOD)}
+        sender = handover_helpers.make_sender({"s": replicas})
         call = scripted.make_call(idempotent=False)
         task = asyncio.create_task(attempts.get_answer(sender, call, "s"))
         await asyncio.sleep(0.01)
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -22,7 +22,7 @@
 
 def handle_one(headers, target=b"/x/1", age_s=0.0, configured=True, draining=False, script=None):
     async def main():
-        replica = scripted.Scripted(*(script or [scripted.response(body=b"good")]))
+        replica = scripted.ScriptedReplica(*(script or [scripted.response(body=b"good")]))
         sender = scripted.make_sender({"s": {"a": replica}})
         view = view_module.View("own", sender.replicas, sender.replicas, lambda: 0.0)
         if configured:
@@ -96,8 +96,8 @@
     [
         (scripted.SlowToConnect, False, 0, 0),
         (scripted.SlowToConnect, True, 0, 0),
-        (scripted.Scripted, False, 1, 0),
-        (scripted.Scripted, True, 1, 1),
+        (scripted.ScriptedReplica, False, 1, 0),
+        (scripted.ScriptedReplica, True, 1, 1),
     ],
     ids=[
         "waiting, not idempotent",
@@ -163,7 +163,9 @@
     admitted, queued = slow_start.INITIAL_LIMIT, 3
 
     async def main():
-        shard = scripted.Scripted(0.02, *[scripted.response(body=bytes(16))] * (admitted + queued))
+        shard = scripted.ScriptedReplica(
+            0.02, *[scripted.response(body=bytes(16))] * (admitted + queued)
+        )
         sender = scripted.make_sender({"s": {"a": shard}})
         view = view_module.View("own", sender.replicas, sender.replicas, lambda: 0.0)
         route = routes.Route(
@@ -231,7 +233,7 @@
     response_latency_s = 0.003
 
     async def main():
-        sender = scripted.make_sender({"s": {"a": scripted.Scripted(scripted.response())}})
+        sender = scripted.make_sender({"s": {"a": scripted.ScriptedReplica(scripted.response())}})
         view = view_module.View("own", sender.replicas, sender.replicas, lambda: 0.0)
         route = routes.Route("r", "h.example", "/x/", True, 2000, 106, 1, 2, shards=("s",))
         view.configuration = routes.Configuration(3, (route,), {}, messages.Limits())
@@ -277,7 +279,7 @@
     monkeypatch.setattr(callers_module, "FIRST_SNAPSHOT_TIMEOUT_S", 0.05 if status == 503 else 30.0)
 
     async def main():
-        replica = scripted.Scripted(scripted.response(body=b"good"))
+        replica = scripted.ScriptedReplica(scripted.response(body=b"good"))
         sender = scripted.make_sender({"s": {"a": replica}})
         view = view_module.View("own", sender.replicas, sender.replicas, lambda: 0.0)
         handler = callers_module.RequestHandler(view, sender, lambda: 0.0)
--- a/tests/handing.py
+++ b/tests/handover_helpers.py
@@ -99,7 +99,7 @@
 
 def scripts(number_of=None):
     return {
-        service: {name: scripted.Scripted(part(ord(service))) for name in names}
+        service: {name: scripted.ScriptedReplica(part(ord(service))) for name in names}
         for service, names in REPLICAS_BY_SERVICE.items()
     }
 
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -72,7 +72,7 @@
         self.closed = True
 
 
-class Scripted:
+class ScriptedReplica:
     """A replica that follows the steps of its script in order and repeats the last one."""
 
     def __init__(self, *script):
@@ -86,7 +86,7 @@
         return Connection(self)
 
 
-class CrashingReplica(Scripted):
+class CrashingReplica(ScriptedReplica):
     """A replica that crashes when it runs a request and, by default, then refuses connections."""
 
     def __init__(self, *script, accepts_connections=False):
@@ -99,7 +99,7 @@
         return Connection(self)
 
 
-class SlowToConnect(Scripted):
+class SlowToConnect(ScriptedReplica):
     """A replica whose connections take 0.15 s to open."""
 
     async def connect(self):
