--- a/src/turmericlug/entry/daemon.py
+++ b/src/turmericlug/entry/daemon.py
@@ -81,7 +81,7 @@
     names: header_names_module.HeaderNames
     source: abc.Callable[[settings_module.Source, counters_module.Counters], source_module.Source]
     resolve_handler: abc.Callable[[directory_module.Directory], messages.Handler]
-    decode_value: relay_codec.DecodeValue
+    decode_change: relay_codec.DecodeChange
     ready_handler: abc.Callable[[abc.Callable[[], bool]], messages.Handler]
 
 
@@ -232,7 +232,7 @@
     view, source, counters = (kernel.find(name) for name in ("view", "source", "counters"))
     relayed_source = relay.RelayedSource(
         source,
-        kernel.find("adapter").decode_value,
+        kernel.find("adapter").decode_change,
         _place(kernel.find("settings")),
         view.peers,
         counters,
--- a/src/turmericlug/entry/relay.py
+++ b/src/turmericlug/entry/relay.py
@@ -101,7 +101,7 @@
     """A source whose changes are requested from a relay where there is one."""
 
     source: source_module.Source
-    decode_value: relay_codec.DecodeValue
+    decode_change: relay_codec.DecodeChange
     place: placement.Place
     peers: replicas_module.Replicas
     counters: counters_module.Counters
@@ -212,7 +212,7 @@
                     response = await connection.exchange(request)
             if response.status != 200:
                 return self._record_failure(relay, f"status_{response.status}")
-            reply = relay_codec.decode(response.body, self.decode_value)
+            reply = relay_codec.decode(response.body, self.decode_change)
         except (client.ConnectError, client.ExchangeError, relay_codec.MessageError) as error:
             return self._record_failure(relay, str(error))
         except TimeoutError:
--- a/src/turmericlug/entry/relay_codec.py
+++ b/src/turmericlug/entry/relay_codec.py
@@ -20,7 +20,7 @@
 _MAX_AGE_S = 3600.0
 """Reported as the age if the source has never answered: far beyond what any instance accepts."""
 
-DecodeValue = abc.Callable[[str, bytes, int], source.Written | source.Unreadable | None]
+DecodeChange = abc.Callable[[str, bytes, int], source.Written | source.Unreadable | None]
 """Decodes the new content of a key, given its revision."""
 
 
@@ -87,7 +87,7 @@
     return zlib.compress(content, 1) if len(content) > COMPRESSION_THRESHOLD_BYTES else content
 
 
-def decode(content: bytes, decode_value: DecodeValue) -> Reply:
+def decode(content: bytes, decode_change: DecodeChange) -> Reply:
     """
     Decode a message.
 
@@ -95,7 +95,7 @@
     """
     try:
         message = _SCHEMA.News.from_bytes_packed(content)
-        decoded = [_decode_change(change, decode_value) for change in message.changes]
+        decoded = [_decode_relayed_change(change, decode_change) for change in message.changes]
         changes = tuple(change for change in decoded if change is not None)
         age_s = message.sourceAgeMs / 1000
         reported = source.Changes(changes, message.revision, age_s, message.era)
@@ -104,13 +104,13 @@
         raise MessageError(str(error)[:100]) from error
 
 
-def _decode_change(
-    change: capnp.lib.capnp._DynamicStructReader, decode_value: DecodeValue
+def _decode_relayed_change(
+    change: capnp.lib.capnp._DynamicStructReader, decode_change: DecodeChange
 ) -> source.Change | None:
     if change.removed:
         return source.Removed(change.key, change.revision, change.era)
     content = decompress_value(change.content) if change.compressed else bytes(change.content)
-    decoded = decode_value(change.key, content, change.revision)
+    decoded = decode_change(change.key, content, change.revision)
     if isinstance(decoded, source.Written):
         return attrs.evolve(decoded, era=change.era, lease=change.lease)
     return decoded and attrs.evolve(decoded, era=change.era)
--- a/src/turmericlug/platform/start.py
+++ b/src/turmericlug/platform/start.py
@@ -32,7 +32,7 @@
     names=names.HEADERS,
     source=_make_source,
     resolve_handler=interfaces.resolve_handler,
-    decode_value=decode.decode_change,
+    decode_change=decode.decode_change,
     ready_handler=interfaces.ready_handler,
 )
 
--- a/tests/entry/test_relay_codec.py
+++ b/tests/entry/test_relay_codec.py
@@ -11,7 +11,7 @@
 from turmericlug.entry import source
 
 
-def decode_value(key, content, revision):
+def decode_change(key, content, revision):
     return source.Written(key, scripted.entry("a"), revision, content)
 
 
@@ -23,18 +23,18 @@
         source.Removed("r/b", 12, 3),
     )
     message = relay_codec.encode(source.Changes(changes, 12), age_s)
-    reply = relay_codec.decode(message, decode_value)
+    reply = relay_codec.decode(message, decode_change)
     assert reply == relay_codec.Reply(source.Changes(changes, 12, age_s), history_lost=False)
 
 
 def test_lost_history_round_trip():
-    assert relay_codec.decode(relay_codec.encode(None, 0.5), decode_value).history_lost
+    assert relay_codec.decode(relay_codec.encode(None, 0.5), decode_change).history_lost
 
 
 @pytest.mark.parametrize("damage", [b"", b"\xff" * 40])
 def test_damaged_message_raises(damage):
     with pytest.raises(relay_codec.MessageError):
-        relay_codec.decode(damage or b"\x10", decode_value)
+        relay_codec.decode(damage or b"\x10", decode_change)
 
 
 @pytest.mark.parametrize("content", [b"", b"x", zlib.compress(b"a" * 5000)[:-3]])
